--- a/crates/pinhaven-decide/src/admission.rs
+++ b/crates/pinhaven-decide/src/admission.rs
@@ -1,34 +1,35 @@
-//! Admission: how many requests of a service this entry keeps in flight.
+//! Limit on the number of requests of a service that this entry has in flight.
 //!
-//! Entries don't see each other, but each sees the targets' queues in the reports. Queues longer than
-//! the slots make the limit shrink in proportion, room makes it grow by a constant, so that all
-//! entries come to an even share without a message between them.
+//! Entries don't coordinate their limits, but each entry sees the targets' queues in the load reports. The limit
+//! follows additive increase and multiplicative decrease: over a round of requests it grows by a constant while queues
+//! are short, and shrinks in proportion to its size while queues are at least as long as the number of slots. The
+//! limits of all entries thereby converge to equal shares without any message between the entries.
 
 use crate::atomic::AtomicF32;
 use crate::report::LoadReport;
 
-/// Growth of the limit over a round of requests.
+/// Increase of the limit over a round of requests, in requests. A round has as many requests as the limit.
 const GROWTH: f32 = 1.0;
-/// Share of the limit that is given up over a round of requests that all met long queues.
+/// Share by which the limit decreases over a round of requests that all met long queues.
 const SHRINKAGE: f32 = 0.3;
-/// The limit grows only while this share of it is in use.
-const USE_TO_GROW: f32 = 0.7;
-/// The smallest limit.
+/// The limit grows only while more than this share of it is in use.
+const GROWTH_USE_SHARE_MIN: f32 = 0.7;
+/// Minimum limit, in requests.
 const LIMIT_MIN: f32 = 2.0;
 
-/// A limit on requests in flight that finds its own size.
+/// An adaptive limit on the number of requests in flight.
 #[derive(Debug)]
 pub(crate) struct InFlightLimit {
     limit: AtomicF32,
-    most: f32,
+    max: f32,
 }
 
 impl InFlightLimit {
-    pub(crate) fn new(first: f32, most: f32) -> Self {
-        let most = most.max(LIMIT_MIN);
+    pub(crate) fn new(initial: f32, max: f32) -> Self {
+        let max = max.max(LIMIT_MIN);
         Self {
-            limit: AtomicF32::new(first.clamp(LIMIT_MIN, most)),
-            most,
+            limit: AtomicF32::new(initial.clamp(LIMIT_MIN, max)),
+            max,
         }
     }
 
@@ -36,23 +37,23 @@
         self.limit.get()
     }
 
-    /// Takes in the queue that a request met.
+    /// Adjusts the limit by the queue in the report on an answer.
     pub(crate) fn record(&self, report: &LoadReport, slots: f32, in_flight: u32) {
         let has_long_queue = report.waiting as f32 >= slots;
-        let most = self.most;
+        let max = self.max;
         self.limit.update(|limit| {
             let changed = if has_long_queue {
                 limit - SHRINKAGE
-            } else if in_flight as f32 > limit * USE_TO_GROW {
+            } else if in_flight as f32 > limit * GROWTH_USE_SHARE_MIN {
                 limit + GROWTH / limit
             } else {
                 limit
             };
-            changed.clamp(LIMIT_MIN, most)
+            changed.clamp(LIMIT_MIN, max)
         });
     }
 
     pub(crate) fn take_over(&self, previous: &Self) {
-        self.limit.set(previous.get().clamp(LIMIT_MIN, self.most));
+        self.limit.set(previous.get().clamp(LIMIT_MIN, self.max));
     }
 }
--- a/crates/pinhaven-decide/src/budget.rs
+++ b/crates/pinhaven-decide/src/budget.rs
@@ -1,13 +1,13 @@
-//! A budget for added attempts: each request pays in a share, each added attempt takes one whole.
+//! Budget for retries and hedges: each request adds a share of a token, each added attempt takes a whole token.
 
 use crate::atomic::AtomicF32;
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
-/// A token bucket that is filled by requests, not by time.
+/// A token bucket that is filled by requests instead of by time.
 ///
-/// The attempts that it allows are never more than the share of requests plus its capacity, whatever
-/// the load, so that retries can't outgrow the traffic that caused them.
+/// The number of added attempts is at most the given share of the number of requests plus the capacity, at any load.
+/// Retries therefore can't multiply the traffic that caused them.
 #[derive(Debug)]
 pub struct TokenBudget {
     share: f32,
@@ -16,7 +16,7 @@
 }
 
 impl TokenBudget {
-    /// A full bucket that gains `share` of a token for each request.
+    /// Creates a full bucket to which each request adds `share` of a token.
     pub fn new(share: f64, capacity: f32) -> Self {
         let capacity = if share > 0.0 { capacity } else { 0.0 };
         Self {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Sets how many tokens the bucket holds at the most. What it has beyond that is lost.
+    /// Sets the maximum number of tokens in the bucket. Tokens in excess of `capacity` are discarded.
     pub fn set_capacity(&self, capacity: f32) {
         if self.share > 0.0 {
             self.capacity.set(capacity);
@@ -34,20 +34,20 @@
         }
     }
 
-    /// Takes over what another bucket of the same service had left, so that a new version does not
-    /// come with a full bucket.
+    /// Carries over the capacity and the tokens of the service's previous bucket, so that a new bundle version does not
+    /// start with a full bucket.
     pub(crate) fn take_over(&self, previous: &Self) {
         self.capacity.set(previous.capacity.get());
         self.tokens.set(previous.tokens.get());
     }
 
-    /// Pays a request's share in.
+    /// Adds the share of one request.
     pub fn pay_in(&self) {
         self.tokens
             .update(|tokens| (tokens + self.share).min(self.capacity.get()));
     }
 
-    /// Takes a token for an added attempt; `false` when there is none.
+    /// Takes a token for an added attempt; returns `false` if less than one token is left.
     pub fn take(&self) -> bool {
         let taken = AtomicBool::new(false);
         self.tokens.update(|tokens| {
@@ -58,7 +58,7 @@
         taken.into_inner()
     }
 
-    /// Tokens at hand.
+    /// Number of tokens in the bucket.
     pub fn tokens(&self) -> f32 {
         self.tokens.get()
     }
--- a/crates/pinhaven-decide/src/waiting.rs
+++ b/crates/pinhaven-decide/src/waiting.rs
@@ -1,14 +1,14 @@
-//! Requests that wait at this entry, counted by priority.
+//! Number of requests that wait at this entry, by priority.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
 
 /// Number of priorities, from 0 (refused first) to 3 (refused last).
 pub const PRIORITY_COUNT: usize = 4;
-/// The highest priority.
+/// Highest priority.
 pub(crate) const PRIORITY_MAX: u8 = PRIORITY_COUNT as u8 - 1;
 
-/// How many requests wait.
+/// Number of waiting requests of a service, by priority.
 #[derive(Debug)]
 pub(crate) struct Waiting([AtomicU32; PRIORITY_COUNT]);
 
@@ -18,14 +18,14 @@
     }
 
     pub(crate) fn begin(&self, priority: u8) {
-        self.of(priority).fetch_add(1, Ordering::Relaxed);
+        self.counter(priority).fetch_add(1, Ordering::Relaxed);
     }
 
     pub(crate) fn end(&self, priority: u8) {
-        self.of(priority).fetch_sub(1, Ordering::Relaxed);
+        self.counter(priority).fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// All that wait.
+    /// Number of waiting requests of all priorities.
     pub(crate) fn count(&self) -> u32 {
         self.0
             .iter()
@@ -33,16 +33,16 @@
             .sum()
     }
 
-    /// The highest priority of which one waits.
+    /// Highest priority that has a waiting request.
     pub(crate) fn most_urgent(&self) -> Option<u8> {
-        let waits = |priority: &usize| self.0[*priority].load(Ordering::Relaxed) > 0;
+        let has_waiting = |priority: &usize| self.0[*priority].load(Ordering::Relaxed) > 0;
         (0..PRIORITY_COUNT)
             .rev()
-            .find(waits)
+            .find(has_waiting)
             .map(|priority| priority as u8)
     }
 
-    fn of(&self, priority: u8) -> &AtomicU32 {
+    fn counter(&self, priority: u8) -> &AtomicU32 {
         &self.0[usize::from(priority.min(PRIORITY_MAX))]
     }
 }
