--- a/crates/pinhaven-decide/src/lib.rs
+++ b/crates/pinhaven-decide/src/lib.rs
@@ -1,17 +1,17 @@
-//! The decisions on a request's path: which target, when to refuse, retry, hedge and measure.
+//! Load-balancing decisions for requests: target selection, admission, retries, hedges and probe budgets.
 //!
-//! Nothing in here does I/O, reads a clock or starts a thread. Time comes in as [`Microseconds`] on
-//! the driver's monotonic clock, randomness as a seeded generator, and what happened as an [`Event`];
-//! what to do goes out as [`Action`]s in a [`Step`]. The entry program is one driver, the tests are
-//! another, and any harness can be a third.
+//! The crate performs no I/O, reads no clock and starts no thread. The caller, called the driver, passes in the
+//! time as [`Microseconds`] of its monotonic clock, a seeded random generator and an [`Event`]. The crate returns a
+//! [`Step`] with the [`Action`]s to perform. The entry program and the tests are drivers, so that the same decisions
+//! can be tested without a network and reproduced from a seed.
 //!
-//! What several requests share is in [`ServiceState`] and [`TargetState`], all of it atomics, so that
-//! threads decide at the same time without a lock. A new bundle makes a new [`ServiceState`] that
-//! takes the old one's targets over; requests in flight keep the state they began with.
+//! State that requests share is in [`ServiceState`] and [`TargetState`]. Both consist of atomics, so that threads
+//! decide concurrently without a lock. A new bundle creates a new [`ServiceState`] that carries over the target
+//! states of the previous one; requests in flight keep the [`ServiceState`] with which they started.
 //!
 //! # Examples
 //!
-//! A driver hands each request's events in and carries the actions out:
+//! A driver passes in the events of each request and performs the returned actions:
 //!
 //! ```
 //! use pinhaven_decide::Action;
@@ -37,9 +37,9 @@
 //!
 //! let step = request.handle(&service, now, &mut random, Event::Arrived);
 //! let Some(Action::Send(attempt)) = step.actions.into_iter().next() else {
-//!     panic!("an idle service takes the request");
+//!     panic!("an idle service sends the request");
 //! };
-//! // The driver sends the request to `attempt.target.address()`, and the answer arrives.
+//! // The driver sends the request to `attempt.target.address()` and receives the answer 20 ms later.
 //! let later = Microseconds::from_ms(21);
 //! let outcome = AttemptOutcome::Answered { is_server_error: false, report: None };
 //! let event = Event::AttemptEnded { attempt: attempt.id, outcome };
--- a/crates/pinhaven-decide/src/refusal.rs
+++ b/crates/pinhaven-decide/src/refusal.rs
@@ -1,38 +1,38 @@
-//! The final answer to a request that is given up on.
+//! Refusals: the final answers to requests for which no target's answer is delivered.
 
 use std::fmt;
 
 /// Why a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// Its deadline had passed on arrival.
+    /// The deadline had passed when the request arrived.
     DeadlinePast,
-    /// It could not be answered before its deadline.
+    /// The request could not have been answered before its deadline.
     NoTimeLeft,
-    /// The service's targets are busy.
+    /// The targets of the service are overloaded.
     Overloaded,
-    /// The entry is busy and the service's priority is low.
+    /// The entry's utilization is too high for the priority of the request.
     EntryFull,
-    /// No target may take it.
+    /// No target may receive the request.
     NoTarget,
-    /// All targets rest that don't leave.
+    /// Each target that does not leave is resting.
     Resting,
-    /// The targets turned it away, and there is no budget for another attempt.
+    /// The targets shed the request, and no further attempt was possible.
     Shed,
     /// No target could be reached.
     Unreachable,
-    /// A target took it and did not answer whole.
+    /// A target received the request and its answer did not arrive completely.
     Broken,
-    /// The deadline came while a target had it.
+    /// The deadline passed while an attempt was in flight.
     DeadlineCame,
-    /// This entry's planned stop may wait no longer.
+    /// The entry is stopping and can't wait any longer for an answer.
     EntryStopping,
-    /// It crashes the targets that run it.
+    /// The request crashes the targets that run it.
     HeldBack,
 }
 
 impl RefusalReason {
-    /// All reasons, for counters.
+    /// All reasons, for metrics that count refusals by reason.
     pub const ALL: [Self; 12] = [
         Self::DeadlinePast,
         Self::NoTimeLeft,
@@ -48,7 +48,7 @@
         Self::HeldBack,
     ];
 
-    /// Name in answers, logs and metrics.
+    /// Name of the reason in answers, logs and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Self::DeadlinePast => "deadline_past",
@@ -67,19 +67,19 @@
     }
 }
 
-/// What is known of whether a request ran.
+/// Whether a request ran at a target, as far as is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunState {
-    /// It ran.
+    /// The request ran.
     Run,
-    /// It did not run, and nothing under way can run it.
+    /// The request did not run, and no attempt in flight can still run it.
     NotRun,
-    /// Nobody can tell.
+    /// Whether the request ran can't be determined.
     Unknown,
 }
 
 impl RunState {
-    /// Name in answers and logs.
+    /// Name of the state in answers and logs.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Run => "run",
@@ -95,13 +95,13 @@
     }
 }
 
-/// The final answer to a request that is given up on.
+/// The final answer to a request for which no target's answer is delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub run_state: RunState,
-    /// When to come back, in milliseconds.
+    /// Time after which the caller should retry, in milliseconds.
     pub retry_after_ms: u64,
 }
--- a/crates/pinhaven-decide/src/report.rs
+++ b/crates/pinhaven-decide/src/report.rs
@@ -1,20 +1,20 @@
-//! Load reports, as targets publish them.
+//! Load reports that targets publish.
 
-/// What a target said of its load, on a reply or to a probe.
+/// A target's report of its load, on an answer to a request or to a probe.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it works on.
+    /// Number of requests that the target is running.
     pub running: u32,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait at the target for a slot.
     pub waiting: u32,
-    /// Whether it says that it is leaving.
+    /// Whether the target reports that it is leaving.
     pub is_draining: bool,
-    /// How many times longer than usual work takes there at this moment, if it says so.
+    /// Factor by which work currently takes longer at the target than usual, if reported.
     pub slowdown: Option<f32>,
 }
 
 impl LoadReport {
-    /// All requests that the target holds.
+    /// Number of requests at the target, running and waiting.
     pub fn outstanding(&self) -> u32 {
         self.running.saturating_add(self.waiting)
     }
