--- a/crates/pinhaven-decide/src/event.rs
+++ b/crates/pinhaven-decide/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a request, and what is to be done about it.
+//! Events that a driver passes to a request, and the actions that the request returns.
 
 use crate::refusal::Refusal;
 use crate::report::LoadReport;
@@ -7,34 +7,34 @@
 use pinhaven_types::Microseconds;
 use std::sync::Arc;
 
-/// Number of an attempt within its request.
+/// Index of an attempt within its request, from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct AttemptId(pub u32);
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptOutcome {
-    /// It was never sent; it did not run.
+    /// The attempt was not sent, so the request did not run.
     NotSent,
-    /// It was never sent, as its target began to leave or to rest after it was chosen.
-    Closed,
-    /// The target said that it did not run it.
+    /// The attempt was not sent, because the target began to leave or to rest after it had been chosen.
+    TargetClosed,
+    /// The target refused the attempt and stated that it did not run the request.
     Shed {
-        /// The report on the reply.
+        /// Load report on the answer.
         report: Option<LoadReport>,
     },
-    /// It was not sent, as the request crashes targets.
+    /// The attempt was not sent, because the request crashes targets.
     HeldBack {
-        /// When the request may be tried again, in milliseconds.
+        /// Time until the request may be tried again, in milliseconds.
         retry_after_ms: u64,
     },
-    /// It broke after it was sent; nobody can tell whether it ran.
+    /// The attempt failed after it was sent; whether the request ran is unknown.
     Broken,
-    /// It was answered.
+    /// The target answered.
     Answered {
-        /// Whether the answer says that the target failed.
+        /// Whether the answer reports a failure of the target.
         is_server_error: bool,
-        /// The report on the reply.
+        /// Load report on the answer.
         report: Option<LoadReport>,
     },
 }
@@ -42,58 +42,58 @@
 /// Something that happened to a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Event {
-    /// It arrived.
+    /// The request arrived.
     Arrived,
-    /// It arrived and is known to crash targets.
+    /// The request arrived and is known to crash targets.
     ArrivedHeldBack {
-        /// When it may be tried again, in milliseconds.
+        /// Time until the request may be tried again, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The time that the last step named has come.
-    TimeCame,
-    /// Another request of the service left its place.
-    PlaceFreed,
+    /// The time in [`Step::wake_at`] of the previous step was reached.
+    TimerFired,
+    /// Another request of the service ended and freed capacity.
+    CapacityFreed,
     /// An attempt ended.
     AttemptEnded {
-        /// The attempt.
+        /// Attempt that ended.
         attempt: AttemptId,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: AttemptOutcome,
     },
-    /// The caller left; nothing more need be answered.
+    /// The caller disconnected; no answer is needed any more.
     CallerLeft,
-    /// The entry ends: the request must have its final answer now.
-    EntryEnds,
+    /// The entry is stopping, and the request must get its final answer now.
+    EntryStopping,
 }
 
-/// What decided the choice of a target.
+/// Figures on which the choice of a target was based.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ChoiceFacts {
-    /// Time until the answer, as it was expected, in milliseconds.
+    /// Expected time until the answer, in milliseconds.
     pub answer_ms: f32,
-    /// Requests that the target was thought to hold.
+    /// Estimated number of requests at the target.
     pub load: f32,
-    /// How many times longer than usual work was thought to take there.
+    /// Expected slowdown: the factor by which work takes longer at the target than usual.
     pub slowdown: f32,
-    /// Age of the target's last word on that, in milliseconds.
+    /// Age of the target's latest report of its speed, in milliseconds.
     pub report_age_ms: Option<f64>,
 }
 
-/// A request under way to a target; its place is given back when it is dropped.
+/// An attempt in flight to a target. Dropping it releases its capacity at the target and the service.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Number within the request.
+    /// Index within the request.
     pub id: AttemptId,
-    /// The target.
+    /// Target of the attempt.
     pub target: Arc<TargetState>,
-    /// What decided the choice, where the policy forecasts.
+    /// Figures on which the choice was based, under the forecasting policy only.
     pub chosen: Option<ChoiceFacts>,
     pub(crate) service: Arc<ServiceState>,
     pub(crate) started: Microseconds,
 }
 
 impl Attempt {
-    /// When it began.
+    /// Time at which the attempt was sent.
     pub fn started(&self) -> Microseconds {
         self.started
     }
@@ -105,26 +105,26 @@
     }
 }
 
-/// Something for the driver to do.
+/// An action for the driver to perform.
 #[derive(Debug)]
 pub enum Action {
     /// Send the request to the attempt's target.
     Send(Attempt),
-    /// Give an attempt up and drop it.
+    /// Cancel the attempt and drop it.
     Cancel(AttemptId),
-    /// Give the caller this attempt's answer.
+    /// Deliver the attempt's answer to the caller.
     Deliver(AttemptId),
-    /// Give the caller this refusal.
+    /// Answer the caller with this refusal.
     Refuse(Refusal),
 }
 
-/// What to do, and when to call again.
+/// The result of handling one event.
 #[derive(Debug, Default)]
 pub struct Step {
-    /// What to do now, in this order.
+    /// Actions to perform now, in order.
     pub actions: Vec<Action>,
-    /// When to hand [`Event::TimeCame`] in if nothing else happens; `None` once the request is over.
+    /// Time at which to pass in [`Event::TimerFired`] if no other event occurs before; `None` once the request is over.
     pub wake_at: Option<Microseconds>,
-    /// Whether to hand [`Event::PlaceFreed`] in when a request of the service leaves its place.
-    pub wants_place: bool,
+    /// Whether to pass in [`Event::CapacityFreed`] when another request of the service frees capacity.
+    pub awaits_capacity: bool,
 }
--- a/crates/pinhaven-decide/src/request.rs
+++ b/crates/pinhaven-decide/src/request.rs
@@ -1,15 +1,15 @@
-//! The life of one request, from its arrival to its final answer.
+//! State machine of one request, from its arrival to its final answer.
 //!
-//! A driver keeps one [`RequestState`] a request and hands it each [`Event`]; the [`Step`] that comes
-//! back says what to do and when to call again if nothing happens before. The rules:
+//! A driver holds one [`RequestState`] per request and passes each [`Event`] to it. The returned [`Step`] contains the
+//! actions to perform and the time of the next timer event. The rules:
 //!
-//! - An attempt that is proved not to have run may be followed by another, whatever the request.
-//! - An attempt whose fate is unknown is followed by another only if the request may be repeated.
-//! - Added attempts are paid for from budgets, and from what the caller left of its own.
-//! - A request that is given up on is refused in the same step, never later.
+//! - After an attempt that certainly did not run, any request may be sent again.
+//! - After an attempt that may have run, only a repeatable request may be sent again.
+//! - Added attempts are limited by the budgets of the service and by the number of attempts that the caller allows.
+//! - A request that can't be served any more is refused in the step in which this is determined.
 
 use crate::choice::Choice;
-use crate::choice::Wanted;
+use crate::choice::ChoiceConstraints;
 use crate::choice::choose;
 use crate::event::Action;
 use crate::event::Attempt;
@@ -32,62 +32,62 @@
 use pinhaven_types::require_promise;
 use std::sync::Arc;
 
-/// Attempts without a connection that cost nothing of what may be added.
-pub(crate) const UNSENT_MOST: u32 = 3;
+/// Maximum number of unsent attempts per request that don't count as added attempts.
+pub(crate) const UNSENT_ATTEMPTS_MAX: u32 = 3;
 
-/// Attempts that a request may make when its caller names no number.
+/// Maximum number of attempts of a request whose caller states no maximum.
 pub const ATTEMPTS_DEFAULT: u32 = 3;
-/// The longest wait at this entry, in typical times.
-const WAIT_MAX: f32 = 4.0;
-/// The longest queue at a target that a request joins, in typical times.
-const QUEUE_MAX: f32 = 4.0;
-/// Share of the remaining time that may be spent on waiting.
+/// Maximum wait at this entry, in typical times.
+const WAIT_FACTOR_MAX: f32 = 4.0;
+/// Maximum predicted wait in the queue of a target to which a request is sent, in typical times.
+const QUEUE_WAIT_FACTOR_MAX: f32 = 4.0;
+/// Maximum share of the time to the deadline that a request may wait.
 const WAIT_SHARE_MAX: f32 = 0.5;
-/// Use of the entry from which the lowest priority is refused.
-const ENTRY_USE_LOWEST: f32 = 0.6;
+/// Utilization of the entry from which requests of the lowest priority are refused, from 0 to 1.
+const LOWEST_PRIORITY_UTILIZATION_MAX: f32 = 0.6;
 
-/// What is known of a request when it arrives.
+/// Properties of a request that are known on its arrival.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestFacts {
-    /// Whether it may be run more than once.
+    /// Whether the request may be run more than once.
     pub is_repeatable: bool,
-    /// Whether its body is held whole, so that it can be sent again.
+    /// Whether the complete body is buffered, so that the request can be sent again.
     pub is_replayable: bool,
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Microseconds,
-    /// Attempts that it may make in all.
-    pub attempts_most: u32,
-    /// Share of what the entry can hold that is in use, from 0 to 1.
-    pub entry_use: f32,
-    /// Importance from 0 (refused first) to 3, where its route says; else the service's.
+    /// Maximum number of attempts, the first included.
+    pub attempts_max: u32,
+    /// Utilization of the entry, from 0 to 1.
+    pub entry_utilization: f32,
+    /// Priority that the route sets, from 0 (refused first) to 3; `None` for the priority of the service.
     pub priority: Option<u8>,
-    /// How long its caller has waited before, on tries that failed.
-    pub waited: Microseconds,
+    /// Time that the caller has already spent on earlier tries that failed.
+    pub prior_wait: Microseconds,
 }
 
 impl RequestFacts {
-    /// The facts of a request with its body at hand.
+    /// Creates the facts of a request whose body is buffered, with defaults for the other properties.
     pub fn new(is_repeatable: bool, deadline: Microseconds) -> Self {
         Self {
             is_repeatable,
             is_replayable: true,
             deadline,
-            attempts_most: ATTEMPTS_DEFAULT,
-            entry_use: 0.0,
+            attempts_max: ATTEMPTS_DEFAULT,
+            entry_utilization: 0.0,
             priority: None,
-            waited: Microseconds::ZERO,
+            prior_wait: Microseconds::ZERO,
         }
     }
 }
 
-/// An attempt as the request remembers it.
+/// A request's record of an attempt that it made.
 #[derive(Debug)]
-pub(crate) struct Sent {
+pub(crate) struct SentAttempt {
     pub(crate) id: AttemptId,
     pub(crate) target: Arc<TargetState>,
     pub(crate) at: Microseconds,
     pub(crate) is_ended: bool,
-    /// How far the target has come with it; kept by the forecasting policy.
+    /// Estimated progress of the target with the attempt, under the forecasting policy only.
     pub(crate) progress: Option<Progress>,
 }
 
@@ -95,28 +95,28 @@
 pub(crate) enum Phase {
     New,
     Waiting { until: Microseconds },
-    UnderWay,
+    InFlight,
     Over,
 }
 
-/// A request's own state.
+/// State of one request.
 #[derive(Debug)]
 pub struct RequestState {
     pub(crate) facts: RequestFacts,
     pub(crate) route: Option<Arc<RouteState>>,
     pub(crate) arrived: Microseconds,
     pub(crate) phase: Phase,
-    pub(crate) sent: Vec<Sent>,
+    pub(crate) sent: Vec<SentAttempt>,
     pub(crate) tried: Vec<TargetAddress>,
     pub(crate) may_have_run: bool,
-    /// Attempts that were never sent, as no connection came up.
+    /// Number of attempts that were never sent, because no connection was established or the target had closed.
     pub(crate) unsent: u32,
     pub(crate) hedge_at: Option<Microseconds>,
-    pub(crate) has_outlasted: bool,
+    pub(crate) has_outlasted_hedge_delay: bool,
 }
 
 impl RequestState {
-    /// A request that has not arrived yet.
+    /// Creates the state of a request before its [`Event::Arrived`].
     pub fn new(facts: RequestFacts) -> Self {
         Self {
             facts,
@@ -128,11 +128,11 @@
             may_have_run: false,
             unsent: 0,
             hedge_at: None,
-            has_outlasted: false,
+            has_outlasted_hedge_delay: false,
         }
     }
 
-    /// The same on a route.
+    /// Sets the route of the request.
     pub fn with_route(mut self, route: Arc<RouteState>) -> Self {
         self.route = Some(route);
         self
@@ -143,7 +143,8 @@
         self.phase == Phase::Over
     }
 
-    /// The time within which an answer is worth all it can be, from the caller's first try on.
+    /// The latency objective (aim) of the request, measured from the caller's first try: the aim of the route, or the
+    /// time to the deadline without a route.
     pub(crate) fn aim(&self) -> Microseconds {
         match &self.route {
             Some(route) => route.aim(),
@@ -151,10 +152,10 @@
         }
     }
 
-    /// What is left of the aim at `now`, in milliseconds.
-    pub(crate) fn to_aim_ms(&self, now: Microseconds) -> f32 {
+    /// Time left at `now` to meet the aim, in milliseconds.
+    pub(crate) fn time_to_aim_ms(&self, now: Microseconds) -> f32 {
         let aim_at = self.arrived.plus(self.aim());
-        let spent = now.plus(self.facts.waited);
+        let spent = now.plus(self.facts.prior_wait);
         aim_at.saturating_sub(spent).as_ms() as f32
     }
 
@@ -162,23 +163,23 @@
         self.facts.priority.unwrap_or(service.priority())
     }
 
-    /// Attempts that services further down may make for `attempt`, its own included. Only the first
-    /// attempt hands its extra ones down, so that they don't multiply from level to level.
-    pub fn attempts_to_hand_down(&self, attempt: AttemptId) -> u32 {
+    /// Maximum number of attempts that downstream services may make for `attempt`, `attempt` included. Only the first
+    /// attempt passes on the remaining attempts, because attempts would otherwise multiply with each level of services.
+    pub fn downstream_attempts(&self, attempt: AttemptId) -> u32 {
         if attempt.0 > 0 {
             return 1;
         }
         let made = self.sent.len() as u32;
-        self.facts.attempts_most.saturating_sub(made) + 1
+        self.facts.attempts_max.saturating_sub(made) + 1
     }
 
-    /// Takes in that a service further down has left only `left` added attempts.
+    /// Limits the further attempts to `left`, the number that a downstream service reports as remaining.
     pub fn limit_added_attempts(&mut self, left: u32) {
         let made = self.sent.len() as u32;
-        self.facts.attempts_most = self.facts.attempts_most.min(made + left);
+        self.facts.attempts_max = self.facts.attempts_max.min(made + left);
     }
 
-    /// Takes an event in and says what to do.
+    /// Handles an event and returns the actions to perform.
     pub fn handle(
         &mut self,
         service: &Arc<ServiceState>,
@@ -187,18 +188,18 @@
         event: Event,
     ) -> Step {
         let mut actions = Vec::new();
-        let mut turn = Turn {
+        let mut handler = EventHandler {
             request: self,
             service,
             now,
             random,
             actions: &mut actions,
         };
-        turn.take(event);
+        handler.handle_event(event);
         Step {
             actions,
             wake_at: self.wake_at(),
-            wants_place: matches!(self.phase, Phase::Waiting { .. }),
+            awaits_capacity: matches!(self.phase, Phase::Waiting { .. }),
         }
     }
 
@@ -206,19 +207,19 @@
         match self.phase {
             Phase::New | Phase::Over => None,
             Phase::Waiting { until } => Some(until.min(self.facts.deadline)),
-            Phase::UnderWay => {
+            Phase::InFlight => {
                 let hedge_at = self.hedge_at.unwrap_or(self.facts.deadline);
                 Some(hedge_at.min(self.facts.deadline))
             }
         }
     }
 
-    pub(crate) fn is_under_way(&self) -> bool {
+    pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.sent.iter().any(|sent| !sent.is_ended)
     }
 
     pub(crate) fn run_state(&self) -> RunState {
-        if self.may_have_run || self.is_under_way() {
+        if self.may_have_run || self.has_attempt_in_flight() {
             RunState::Unknown
         } else {
             RunState::NotRun
@@ -226,42 +227,44 @@
     }
 }
 
-/// One event being taken in.
-pub(crate) struct Turn<'turn> {
-    pub(crate) request: &'turn mut RequestState,
-    pub(crate) service: &'turn Arc<ServiceState>,
+/// Handler of one event: the request with the state that it reads and the actions that it adds.
+pub(crate) struct EventHandler<'event> {
+    pub(crate) request: &'event mut RequestState,
+    pub(crate) service: &'event Arc<ServiceState>,
     pub(crate) now: Microseconds,
-    pub(crate) random: &'turn mut fastrand::Rng,
-    pub(crate) actions: &'turn mut Vec<Action>,
+    pub(crate) random: &'event mut fastrand::Rng,
+    pub(crate) actions: &'event mut Vec<Action>,
 }
 
-impl Turn<'_> {
-    fn take(&mut self, event: Event) {
+impl EventHandler<'_> {
+    fn handle_event(&mut self, event: Event) {
         match (self.request.phase, event) {
             (Phase::Over, _) => {}
             (_, Event::CallerLeft) => self.caller_left(),
-            (_, Event::EntryEnds) => self.entry_ends(),
+            (_, Event::EntryStopping) => self.entry_stopping(),
             (Phase::New, Event::Arrived) => self.arrived(),
             (Phase::New, Event::ArrivedHeldBack { retry_after_ms }) => {
                 self.request.arrived = self.now;
                 self.hold_back(retry_after_ms);
             }
-            (Phase::Waiting { .. }, Event::TimeCame | Event::PlaceFreed) if self.forecasts() => {
-                self.look_again();
+            (Phase::Waiting { .. }, Event::TimerFired | Event::CapacityFreed)
+                if self.uses_forecast() =>
+            {
+                self.retry_admission();
             }
-            (Phase::Waiting { until }, Event::TimeCame) if self.now >= until => {
+            (Phase::Waiting { until }, Event::TimerFired) if self.now >= until => {
                 self.end_wait();
                 self.refuse(RefusalReason::Overloaded);
             }
-            (Phase::Waiting { .. }, Event::PlaceFreed) => self.place_freed(),
-            (Phase::UnderWay, Event::TimeCame) => self.time_came(),
+            (Phase::Waiting { .. }, Event::CapacityFreed) => self.capacity_freed(),
+            (Phase::InFlight, Event::TimerFired) => self.timer_fired(),
             (_, Event::AttemptEnded { attempt, outcome }) => self.attempt_ended(attempt, outcome),
             _ => {}
         }
     }
 
-    /// Whether the service's policy is the forecasting one.
-    pub(crate) fn forecasts(&self) -> bool {
+    /// Whether the service uses the policy [`Policy::Forecast`].
+    pub(crate) fn uses_forecast(&self) -> bool {
         self.service.policy() == Policy::Forecast
     }
 
@@ -275,36 +278,37 @@
             return self.refuse(RefusalReason::DeadlinePast);
         }
         let priority = self.request.priority(self.service);
-        if self.request.facts.entry_use >= entry_use_most(priority) {
+        if self.request.facts.entry_utilization >= entry_utilization_max(priority) {
             return self.refuse(RefusalReason::EntryFull);
         }
         self.admit();
     }
 
-    /// Sends the request, lets it wait, or refuses it.
+    /// Sends the request, makes it wait or refuses it.
     fn admit(&mut self) {
-        if self.forecasts() {
+        if self.uses_forecast() {
             return self.admit_by_forecast();
         }
-        let has_place = (self.service.in_flight() as f32) < self.service.in_flight_limit();
-        if !has_place {
+        let has_capacity = (self.service.in_flight() as f32) < self.service.in_flight_limit();
+        if !has_capacity {
             return self.wait_or_refuse();
         }
         let Some(choice) = self.choose() else {
-            return match self.closed_until(self.now) {
+            return match self.unavailable_until(self.now) {
                 Some(reason) => self.refuse(reason),
                 None => self.wait_or_refuse(),
             };
         };
-        if self.service.predicted_wait_ms(choice.load) > self.wait_allowed_ms(QUEUE_MAX) {
+        if self.service.predicted_wait_ms(choice.load) > self.wait_allowed_ms(QUEUE_WAIT_FACTOR_MAX)
+        {
             return self.refuse(RefusalReason::Overloaded);
         }
         self.service.record_admission(false);
         self.send(choice.target, None);
     }
 
-    /// Why no target could take the request before `until`, as all leave or rest; `None` where one may.
-    pub(crate) fn closed_until(&self, until: Microseconds) -> Option<RefusalReason> {
+    /// Reason for which no target accepts requests by `until`; `None` if a target does.
+    pub(crate) fn unavailable_until(&self, until: Microseconds) -> Option<RefusalReason> {
         match self.service.opening(self.now) {
             Opening::Unknown => Some(RefusalReason::NoTarget),
             Opening::At(at) if at > until => Some(RefusalReason::Resting),
@@ -313,7 +317,7 @@
     }
 
     fn wait_or_refuse(&mut self) {
-        let allowed_ms = self.wait_allowed_ms(WAIT_MAX);
+        let allowed_ms = self.wait_allowed_ms(WAIT_FACTOR_MAX);
         if allowed_ms <= 0.0 {
             return self.refuse(RefusalReason::NoTimeLeft);
         }
@@ -328,9 +332,9 @@
         self.request.phase = Phase::Waiting { until };
     }
 
-    fn place_freed(&mut self) {
-        let has_place = (self.service.in_flight() as f32) < self.service.in_flight_limit();
-        if !has_place {
+    fn capacity_freed(&mut self) {
+        let has_capacity = (self.service.in_flight() as f32) < self.service.in_flight_limit();
+        if !has_capacity {
             return;
         }
         self.end_wait();
@@ -343,27 +347,30 @@
         self.request.phase = Phase::New;
     }
 
-    /// Time that the request may still wait, in milliseconds.
-    fn wait_allowed_ms(&self, most: f32) -> f32 {
+    /// Time that the request may still wait, in milliseconds and at most `factor_max` typical times.
+    fn wait_allowed_ms(&self, factor_max: f32) -> f32 {
         let left_ms = self.request.facts.deadline.saturating_sub(self.now).as_ms() as f32;
         let typical_ms = self.service.typical_ms();
         (left_ms - typical_ms)
             .min(left_ms * WAIT_SHARE_MAX)
-            .min(typical_ms * most)
+            .min(typical_ms * factor_max)
     }
 
     pub(crate) fn choose(&mut self) -> Option<Choice> {
-        let wanted = Wanted {
+        let constraints = ChoiceConstraints {
             is_repeatable: self.request.facts.is_repeatable,
             tried: &self.request.tried,
         };
-        choose(self.service, self.now, self.random, &wanted)
+        choose(self.service, self.now, self.random, &constraints)
     }
 
     pub(crate) fn send(&mut self, target: Arc<TargetState>, chosen: Option<ChoiceFacts>) {
         let is_open = !target.is_closed(self.now);
         let holds = require_promise(Promise::LeavingTarget, is_open, || {
-            format!("{} is leaving or rests and was chosen", target.address())
+            format!(
+                "{} was chosen although it leaves or rests",
+                target.address()
+            )
         });
         let once = self.request.facts.is_repeatable || self.request.run_state() == RunState::NotRun;
         let holds = holds
@@ -376,16 +383,16 @@
         let id = AttemptId(self.request.sent.len() as u32);
         self.service.begin(&target, self.now);
         self.request.tried.push(target.address());
-        self.request.sent.push(Sent {
+        self.request.sent.push(SentAttempt {
             id,
             target: Arc::clone(&target),
             at: self.now,
             is_ended: false,
             progress: None,
         });
-        self.request.phase = Phase::UnderWay;
-        if id.0 == 0 && !self.forecasts() {
-            self.plan_hedge();
+        self.request.phase = Phase::InFlight;
+        if id.0 == 0 && !self.uses_forecast() {
+            self.schedule_hedge();
         }
         self.actions.push(Action::Send(Attempt {
             id,
@@ -396,21 +403,21 @@
         }));
     }
 
-    fn plan_hedge(&mut self) {
+    fn schedule_hedge(&mut self) {
         let facts = &self.request.facts;
-        if facts.is_repeatable && facts.is_replayable && facts.attempts_most > 1 {
+        if facts.is_repeatable && facts.is_replayable && facts.attempts_max > 1 {
             self.request.hedge_at = Some(self.now.plus(self.service.hedge_delay()));
         }
     }
 
-    fn time_came(&mut self) {
+    fn timer_fired(&mut self) {
         if self.now >= self.request.facts.deadline {
             return self.refuse(RefusalReason::DeadlineCame);
         }
         if self.request.hedge_at.is_some_and(|at| self.now >= at) {
             self.request.hedge_at = None;
-            if self.forecasts() {
-                self.look_at_attempts();
+            if self.uses_forecast() {
+                self.check_attempts();
             } else {
                 self.hedge();
             }
@@ -418,7 +425,7 @@
     }
 
     fn hedge(&mut self) {
-        self.request.has_outlasted = true;
+        self.request.has_outlasted_hedge_delay = true;
         self.service.hedge_delay.record(true);
         if !self.has_attempts_left() {
             return;
@@ -427,7 +434,7 @@
             return;
         };
         if self.service.predicted_wait_ms(choice.load) > 0.0 {
-            // Every target looked at has a queue: a hedge would only lengthen one.
+            // All sampled targets have queues, and a hedge would lengthen one of them.
             return;
         }
         if !self.service.hedge_budget.take() {
@@ -439,15 +446,15 @@
 
     pub(crate) fn has_attempts_left(&self) -> bool {
         let mut made = self.request.sent.len() as u32;
-        if self.forecasts() {
-            made -= self.request.unsent.min(UNSENT_MOST);
+        if self.uses_forecast() {
+            made -= self.request.unsent.min(UNSENT_ATTEMPTS_MAX);
         }
-        made < self.request.facts.attempts_most
+        made < self.request.facts.attempts_max
     }
 }
 
-/// Use of the entry up to which a priority is served.
-fn entry_use_most(priority: u8) -> f32 {
-    let step = (1.0 - ENTRY_USE_LOWEST) / f32::from(PRIORITY_MAX);
-    ENTRY_USE_LOWEST + step * f32::from(priority.min(PRIORITY_MAX))
+/// Utilization of the entry from which requests of a priority are refused.
+fn entry_utilization_max(priority: u8) -> f32 {
+    let step = (1.0 - LOWEST_PRIORITY_UTILIZATION_MAX) / f32::from(PRIORITY_MAX);
+    LOWEST_PRIORITY_UTILIZATION_MAX + step * f32::from(priority.min(PRIORITY_MAX))
 }
--- a/crates/pinhaven-decide/src/request_end.rs
+++ b/crates/pinhaven-decide/src/request_end.rs
@@ -1,4 +1,4 @@
-//! How a request's attempts end, and what follows: another attempt, the answer, or a refusal.
+//! Handling of ended attempts: sends another attempt, delivers the answer or refuses the request.
 
 use crate::event::Action;
 use crate::event::AttemptId;
@@ -9,18 +9,18 @@
 use crate::refusal::RefusalReason;
 use crate::refusal::RunState;
 use crate::report::LoadReport;
+use crate::request::EventHandler;
 use crate::request::Phase;
-use crate::request::Turn;
-use crate::request::UNSENT_MOST;
+use crate::request::UNSENT_ATTEMPTS_MAX;
 use crate::target::TargetState;
 use pinhaven_types::Promise;
 use pinhaven_types::require_promise;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-impl Turn<'_> {
-    /// Sends a request whose last attempt never reached a target. No target has seen that attempt, so
-    /// it costs nothing of what may be added.
+impl EventHandler<'_> {
+    /// Sends the request to another target after an attempt that was not sent. No retry budget is used, because no
+    /// target received the earlier attempt.
     fn send_elsewhere(&mut self) -> bool {
         if !self.request.facts.is_replayable || self.now >= self.request.facts.deadline {
             return false;
@@ -33,10 +33,13 @@
         true
     }
 
-    /// Takes in that an attempt was never sent; a request that no target takes is refused for `reason`.
-    fn never_sent(&mut self, reason: RefusalReason) {
+    /// Handles an attempt that was not sent. If no further attempt is possible, refuses the request with `reason`.
+    fn attempt_not_sent(&mut self, reason: RefusalReason) {
         self.request.unsent += 1;
-        if self.forecasts() && self.request.unsent <= UNSENT_MOST && self.send_elsewhere() {
+        if self.uses_forecast()
+            && self.request.unsent <= UNSENT_ATTEMPTS_MAX
+            && self.send_elsewhere()
+        {
             return;
         }
         self.retry_or_refuse(reason);
@@ -55,19 +58,19 @@
         match outcome {
             AttemptOutcome::NotSent => {
                 self.service.record_failure(&target, self.now);
-                self.never_sent(RefusalReason::Unreachable);
+                self.attempt_not_sent(RefusalReason::Unreachable);
             }
-            AttemptOutcome::Closed => {
-                let reason = self.closed_until(self.now);
-                self.never_sent(reason.unwrap_or(RefusalReason::Shed));
+            AttemptOutcome::TargetClosed => {
+                let reason = self.unavailable_until(self.now);
+                self.attempt_not_sent(reason.unwrap_or(RefusalReason::Shed));
             }
             AttemptOutcome::HeldBack { retry_after_ms } => {
-                if !self.request.is_under_way() {
+                if !self.request.has_attempt_in_flight() {
                     self.hold_back(retry_after_ms);
                 }
             }
             AttemptOutcome::Shed { report } => {
-                self.take_shed(&target, report);
+                self.record_shed(&target, report);
                 self.retry_or_refuse(RefusalReason::Shed);
             }
             AttemptOutcome::Broken => {
@@ -92,7 +95,7 @@
         }
     }
 
-    fn take_shed(&mut self, target: &TargetState, report: Option<LoadReport>) {
+    fn record_shed(&mut self, target: &TargetState, report: Option<LoadReport>) {
         if let Some(report) = &report {
             self.service.record_report(target, self.now, report);
             self.service
@@ -102,7 +105,7 @@
         target.add_penalty(self.now, self.service.slots());
     }
 
-    /// Whether another attempt may follow; takes it out of the budget if so.
+    /// Whether a retry is allowed. Takes a token from the retry budget if so.
     fn may_retry(&self) -> bool {
         let facts = &self.request.facts;
         let is_safe = facts.is_repeatable || !self.request.may_have_run;
@@ -117,9 +120,9 @@
         if !self.may_retry() {
             return false;
         }
-        let target = if self.forecasts() {
-            let in_time = self.earliest(Lane::Any);
-            let forecast = in_time.or_else(|| self.earliest(Lane::Spare));
+        let target = if self.uses_forecast() {
+            let earliest = self.earliest(Lane::Any);
+            let forecast = earliest.or_else(|| self.earliest(Lane::Spare));
             forecast.map(|forecast| {
                 let facts = forecast.facts(self.now);
                 (forecast.target, Some(facts))
@@ -136,7 +139,7 @@
     }
 
     fn retry_or_refuse(&mut self, reason: RefusalReason) {
-        if self.request.is_under_way() || self.retry() {
+        if self.request.has_attempt_in_flight() || self.retry() {
             return;
         }
         self.refuse(reason);
@@ -144,7 +147,7 @@
 
     fn retry_or_deliver(&mut self, attempt: AttemptId) {
         let is_repeatable = self.request.facts.is_repeatable;
-        if is_repeatable && (self.request.is_under_way() || self.retry()) {
+        if is_repeatable && (self.request.has_attempt_in_flight() || self.retry()) {
             return;
         }
         self.deliver(attempt);
@@ -152,11 +155,11 @@
 
     fn deliver(&mut self, attempt: AttemptId) {
         self.request.may_have_run = true;
-        self.close();
+        self.finish();
         self.actions.push(Action::Deliver(attempt));
     }
 
-    /// Refuses a request that crashes targets, whoever tried it. No other target would serve it.
+    /// Refuses a request that crashes targets, regardless of which entry sent it. No other target would answer it.
     pub(crate) fn hold_back(&mut self, retry_after_ms: u64) {
         self.refuse_until(RefusalReason::HeldBack, Some(retry_after_ms));
     }
@@ -171,11 +174,11 @@
         if is_load {
             self.service.record_admission(true);
         }
-        self.close();
+        self.finish();
         require_promise(
             Promise::NotRun,
             run_state != RunState::NotRun || !self.request.may_have_run,
-            || "a request that may have run was said not to have".to_owned(),
+            || "a request that may have run was reported as not run".to_owned(),
         );
         let retry_after_ms = retry_after_ms.unwrap_or_else(|| self.retry_after_ms());
         self.actions.push(Action::Refuse(Refusal {
@@ -185,7 +188,8 @@
         }));
     }
 
-    /// When the caller should come back, in milliseconds: by the load, but not before any target takes requests.
+    /// Time after which the caller should retry, in milliseconds. The time follows the load, and is not earlier than
+    /// the first time at which a target accepts requests.
     fn retry_after_ms(&mut self) -> u64 {
         let by_load_ms = self.service.retry_after_ms(self.random);
         match self.service.opening(self.now) {
@@ -200,19 +204,19 @@
         if matches!(self.request.phase, Phase::Waiting { .. }) {
             self.end_wait();
         }
-        self.close();
+        self.finish();
     }
 
-    pub(crate) fn entry_ends(&mut self) {
+    pub(crate) fn entry_stopping(&mut self) {
         if matches!(self.request.phase, Phase::Waiting { .. }) {
             self.end_wait();
         }
         self.refuse(RefusalReason::EntryStopping);
     }
 
-    /// Gives up whatever is under way and ends the request.
-    fn close(&mut self) {
-        if !self.request.sent.is_empty() && !self.request.has_outlasted {
+    /// Cancels all attempts in flight and ends the request.
+    fn finish(&mut self) {
+        if !self.request.sent.is_empty() && !self.request.has_outlasted_hedge_delay {
             self.service.hedge_delay.record(false);
         }
         for sent in &mut self.request.sent {
--- a/crates/pinhaven-decide/src/request_forecast.rs
+++ b/crates/pinhaven-decide/src/request_forecast.rs
@@ -1,11 +1,13 @@
-//! The life of a request under the policy [`Forecast`](pinhaven_bundle::Policy::Forecast).
+//! Admission and hedging of a request under the policy [`Forecast`](pinhaven_bundle::Policy::Forecast).
 //!
-//! - It is sent where the answer is expected first, if that is within its aim.
-//! - Else it waits here for a slot, or for a target to turn fast again, the more urgent first. As long
-//!   as no target could take it even late, it waits for a short share of its aim and is then refused.
-//! - Once its aim can't be met any more it takes a slot that no request in time would want.
-//! - While it is under way, its target's reports are looked at. When the aim would be missed there and
-//!   met elsewhere, and it may be repeated, a hedge is sent.
+//! - A request is sent to the target with the earliest expected answer, if this answer meets the aim (the latency
+//!   objective of the request).
+//! - Otherwise the request waits at this entry for a free slot or for a slow target to recover; requests of a higher
+//!   priority go first. A request for which no target has a slot, not even for a late answer, is refused after a short
+//!   share of its aim.
+//! - A request that can't meet its aim any more is sent only to a slot that requests within their aim don't need.
+//! - While an attempt is in flight, the reports of its target are checked. If the attempt is expected to miss the aim,
+//!   and another target is expected to meet the aim or to answer much earlier, a repeatable request is hedged.
 
 use crate::event::AttemptId;
 use crate::forecast;
@@ -14,69 +16,69 @@
 use crate::progress::Progress;
 use crate::refusal::RefusalReason;
 use crate::report::LoadReport;
+use crate::request::EventHandler;
 use crate::request::Phase;
-use crate::request::Turn;
 use pinhaven_types::Microseconds;
 
-/// Share of the aim that a request waits here at the most. A refusal within a quarter of the aim
-/// leaves its caller the time for another try; the rest of that quarter is for the way.
-const WAIT_SHARE: f32 = 0.18;
-/// How often a waiting request looks again, in milliseconds: the speed of targets changes without
-/// any request leaving its place.
-const LOOK_AGAIN_MS: u64 = 15;
-/// Share of the time to the aim that a forecast may fill for the request to be sent at once. The rest
-/// is for the way to and from the caller, and for what the forecast does not know.
-const AIM_FILL: f32 = 0.75;
-/// A forecast up to this many times the work is good where the aim is shorter than the work.
-const GOOD_FACTOR: f32 = 1.5;
-/// Share of the time left that a late answer's forecast may fill.
-const LATE_FILL: f32 = 0.8;
-/// First look at a request under way, as a share of its work.
-const FIRST_LOOK_SHARE: f32 = 0.3;
-/// Time between two looks, as a share of its work.
-const LOOK_SHARE: f32 = 0.2;
-/// The shortest and the longest time between two looks, in milliseconds. A report is some 50 ms old
-/// on average, so looking much more often shows nothing new.
-const LOOK_MS: (f32, f32) = (12.0, 50.0);
-/// A hedge must save at least this share of the work.
-const HEDGE_GAIN_SHARE: f32 = 0.25;
-/// A hedge of a request that is late either way must be this many times faster.
+/// Maximum wait at this entry, as a share of the aim. A refusal within a quarter of the aim leaves the caller time for
+/// another try; the rest of that quarter is for transmission.
+const AIM_WAIT_SHARE_MAX: f32 = 0.18;
+/// Interval at which admission of a waiting request is retried, in milliseconds. The speed of a target may change while
+/// no request ends, so that no event announces the change.
+const ADMISSION_RETRY_MS: u64 = 15;
+/// Maximum share of the time to the aim that a forecast may take for the request to be sent at once. The rest is for
+/// transmission to and from the caller and for forecast errors.
+const AIM_FILL_SHARE_MAX: f32 = 0.75;
+/// Maximum acceptable forecast where the aim is too short for the work, as a multiple of the work.
+const ACCEPTABLE_FACTOR: f32 = 1.5;
+/// Maximum share of the time to the deadline that the forecast of a late answer may take.
+const DEADLINE_FILL_SHARE_MAX: f32 = 0.8;
+/// Time from sending a request to its first check, as a share of its work.
+const FIRST_CHECK_SHARE: f32 = 0.3;
+/// Time between two further checks, as a share of the work.
+const CHECK_SHARE: f32 = 0.2;
+/// Minimum and maximum time between two checks, in milliseconds. A report is about 50 ms old on average, so that much
+/// more frequent checks would not find new reports.
+const CHECK_INTERVAL_MS: (f32, f32) = (12.0, 50.0);
+/// Minimum time that a hedge must save, as a share of the work.
+const HEDGE_GAIN_SHARE_MIN: f32 = 0.25;
+/// Factor by which a hedge must be faster than the attempts in flight if the hedge would miss the aim too.
 const LATE_HEDGE_FACTOR: f32 = 3.0;
-/// By how much a hedge must raise the chance of an answer in time, while all slots are free. Hedges by that
-/// chance bring answers in time on a calm day from 0.956 to 0.962 of the credit (3 runs without processor
-/// time).
-const HEDGE_CHANCE: f32 = 0.12;
-/// Time for the way to a target and its answer's way back, in milliseconds.
-const WAY_MS: f32 = 4.0;
-/// Time for the answer's way to the caller, in milliseconds; timers fire late.
-const WAY_BACK_MS: f32 = 16.0;
-/// Weight of one answer in the measure of how full targets slow down.
+/// Minimum gain in the probability of meeting the aim that justifies a hedge while all slots are free. Hedges chosen by
+/// this probability let more requests meet their aim at low load too.
+const HEDGE_CHANCE_GAIN_MIN: f32 = 0.12;
+/// Transmission time to a target and back, in milliseconds.
+const ROUND_TRIP_MS: f32 = 4.0;
+/// Transmission time of the answer to the caller with an allowance for timers that fire late, in milliseconds.
+const RETURN_TRIP_MS: f32 = 16.0;
+/// Weight of one answer in the crowding factor, the slowdown of nearly full targets.
 const CROWDING_WEIGHT: f32 = 0.02;
-/// The most that full targets are taken to slow down.
-const CROWDING_MOST: f32 = 3.0;
+/// Maximum crowding factor that an answer may indicate.
+const CROWDING_MAX: f32 = 3.0;
 
-impl Turn<'_> {
-    /// Sends the request, lets it wait or refuses it.
+impl EventHandler<'_> {
+    /// Sends the request, makes it wait or refuses it, by the forecasts of the targets.
     pub(crate) fn admit_by_forecast(&mut self) {
-        if let Some(reason) = self.closed_until(self.wait_until()) {
+        if let Some(reason) = self.unavailable_until(self.wait_until()) {
             return self.refuse(reason);
         }
         if let Some(earliest) = self.earliest(Lane::Any)
-            && self.is_good(&earliest)
-            && self.is_its_turn()
+            && self.is_acceptable(&earliest)
+            && self.has_precedence()
         {
             return self.send_by_forecast(earliest);
         }
         let has_waited = self.now >= self.wait_until();
-        let may_meet_aim = self.request.to_aim_ms(self.now) * AIM_FILL > self.work_ms();
+        let may_meet_aim =
+            self.request.time_to_aim_ms(self.now) * AIM_FILL_SHARE_MAX > self.work_ms();
         if may_meet_aim && !has_waited {
             return self.begin_wait();
         }
         match self
             .earliest(Lane::Spare)
-            .filter(|spare| self.is_in_time(spare))
+            .filter(|spare| self.meets_deadline(spare))
         {
-            // There is a slot for a late answer; until it is taken, one in time may still come free.
+            // A slot for a late answer is free, but a slot that meets the aim may still become free.
             Some(_) if may_meet_aim => self.begin_wait(),
             Some(spare) => self.send_by_forecast(spare),
             None if has_waited => self.refuse(RefusalReason::Overloaded),
@@ -84,8 +86,8 @@
         }
     }
 
-    /// Looks again while the request waits.
-    pub(crate) fn look_again(&mut self) {
+    /// Retries admission of a waiting request.
+    pub(crate) fn retry_admission(&mut self) {
         self.end_wait();
         self.admit_by_forecast();
     }
@@ -98,7 +100,7 @@
         if let Some(sent) = self.request.sent.last_mut() {
             sent.progress = Some(progress);
         }
-        self.plan_look(FIRST_LOOK_SHARE);
+        self.schedule_check(FIRST_CHECK_SHARE);
     }
 
     pub(crate) fn earliest(&mut self, lane: Lane) -> Option<Forecast> {
@@ -117,61 +119,62 @@
     fn wait_until(&self) -> Microseconds {
         let facts = &self.request.facts;
         let aim = self.request.aim();
-        let most_us = aim.count() as f32 * WAIT_SHARE;
-        let until = self.request.arrived.plus(Microseconds::new(most_us as u64));
+        let max_us = aim.count() as f32 * AIM_WAIT_SHARE_MAX;
+        let until = self.request.arrived.plus(Microseconds::new(max_us as u64));
         until.min(facts.deadline)
     }
 
-    fn is_its_turn(&self) -> bool {
+    fn has_precedence(&self) -> bool {
         let priority = self.request.priority(self.service);
         let most_urgent = self.service.most_urgent_waiting();
         most_urgent.is_none_or(|most_urgent| most_urgent <= priority)
     }
 
-    fn is_good(&self, forecast: &Forecast) -> bool {
+    fn is_acceptable(&self, forecast: &Forecast) -> bool {
         let aim_ms = self.request.aim().as_ms() as f32;
-        if self.work_ms() > aim_ms * AIM_FILL {
-            // No target could ever meet this aim; the best that there is has to do.
-            return forecast.admission_ms() <= self.work_ms() * GOOD_FACTOR;
+        if self.work_ms() > aim_ms * AIM_FILL_SHARE_MAX {
+            // The aim can't be met even by an idle target, so the forecast is compared with the work instead.
+            return forecast.admission_ms() <= self.work_ms() * ACCEPTABLE_FACTOR;
         }
-        forecast.admission_ms() <= self.request.to_aim_ms(self.now) * AIM_FILL
+        forecast.admission_ms() <= self.request.time_to_aim_ms(self.now) * AIM_FILL_SHARE_MAX
     }
 
-    /// Whether a late answer would still come before the deadline, without a wait at the target.
-    fn is_in_time(&self, forecast: &Forecast) -> bool {
+    /// Whether a late answer is expected well before the deadline.
+    fn meets_deadline(&self, forecast: &Forecast) -> bool {
         let deadline = self.request.facts.deadline;
         let left_ms = deadline.saturating_sub(self.now).as_ms() as f32;
-        forecast.answer_ms <= left_ms * LATE_FILL
+        forecast.answer_ms <= left_ms * DEADLINE_FILL_SHARE_MAX
     }
 
     fn begin_wait(&mut self) {
         let priority = self.request.priority(self.service);
         self.service.begin_wait(priority);
-        let look_at = self.now.plus(Microseconds::from_ms(LOOK_AGAIN_MS));
-        self.request.phase = Phase::Waiting { until: look_at };
+        let retry_at = self.now.plus(Microseconds::from_ms(ADMISSION_RETRY_MS));
+        self.request.phase = Phase::Waiting { until: retry_at };
     }
 
-    /// Plans the next look at a request under way, if a look could lead to anything.
-    fn plan_look(&mut self, share: f32) {
+    /// Schedules the next check of the attempts in flight, if the request may be hedged.
+    fn schedule_check(&mut self, share: f32) {
         let facts = &self.request.facts;
         let may_hedge = facts.is_repeatable && facts.is_replayable && self.has_attempts_left();
         self.request.hedge_at = may_hedge.then(|| {
-            let pause_ms = (self.work_ms() * share).clamp(LOOK_MS.0, LOOK_MS.1);
+            let interval_ms =
+                (self.work_ms() * share).clamp(CHECK_INTERVAL_MS.0, CHECK_INTERVAL_MS.1);
             self.now
-                .plus(Microseconds::new((pause_ms * 1_000.0) as u64))
+                .plus(Microseconds::new((interval_ms * 1_000.0) as u64))
         });
     }
 
-    /// Looks at the request's attempts, and sends a hedge if the aim would be missed without.
-    pub(crate) fn look_at_attempts(&mut self) {
+    /// Checks the attempts in flight, and sends a hedge if they are expected to miss the aim.
+    pub(crate) fn check_attempts(&mut self) {
         if !self.has_attempts_left() {
-            // The attempt that was left when this look was planned went to a retry.
+            // A retry used the last attempt after this check had been scheduled.
             return;
         }
         self.advance_progress();
-        let hedge = match self.likely_hedge() {
+        let hedge = match self.hedge_by_chance() {
             Some(hedge) => Some(hedge),
-            None => self.hedge_worth_it(),
+            None => self.hedge_by_time_saved(),
         };
         if let Some(hedge) = hedge
             && self.service.hedge_budget.take()
@@ -180,7 +183,7 @@
             self.send_by_forecast(hedge);
             return;
         }
-        self.plan_look(LOOK_SHARE);
+        self.schedule_check(CHECK_SHARE);
     }
 
     fn advance_progress(&mut self) {
@@ -192,50 +195,56 @@
         }
     }
 
-    /// A hedge by the chances that the attempts under way and another one are in time, where work keeps its
-    /// speed. The fewer slots are free, the more it must bring.
-    fn likely_hedge(&mut self) -> Option<Forecast> {
+    /// Chooses a hedge by the probability that it meets the aim while the attempts in flight miss it, where work keeps
+    /// the speed with which it began. The fewer slots are free, the higher is the required gain.
+    fn hedge_by_chance(&mut self) -> Option<Forecast> {
         let speed = &self.service.speed;
         let route = self.request.route.as_ref()?;
         if !speed.kept.is_likely() {
             return None;
         }
-        let (work, left_ms) = (route.work(), self.request.to_aim_ms(self.now) - WAY_BACK_MS);
-        let under_way = self.request.sent.iter().filter(|sent| !sent.is_ended);
-        let chances = under_way
+        let (work, left_ms) = (
+            route.work(),
+            self.request.time_to_aim_ms(self.now) - RETURN_TRIP_MS,
+        );
+        let in_flight = self.request.sent.iter().filter(|sent| !sent.is_ended);
+        let miss_chances = in_flight
             .filter_map(|sent| sent.progress)
             .map(|progress| progress.miss_chance(work, left_ms, speed));
-        let miss = chances.reduce(|all, one| all * one)?;
-        if miss <= HEDGE_CHANCE {
-            // Most looks end here, before all targets are looked at.
+        let miss_chance = miss_chances.reduce(|all, one| all * one)?;
+        if miss_chance <= HEDGE_CHANCE_GAIN_MIN {
+            // Most checks end here, before any forecast is made.
             return None;
         }
-        let least = HEDGE_CHANCE / (1.0 - self.service.use_share(self.now)).max(HEDGE_CHANCE);
-        if miss <= least {
+        let gain_min = HEDGE_CHANCE_GAIN_MIN
+            / (1.0 - self.service.use_share(self.now)).max(HEDGE_CHANCE_GAIN_MIN);
+        if miss_chance <= gain_min {
             return None;
         }
         let earliest = self.earliest(Lane::Any)?;
         let slowdown = earliest.slowdown;
-        let hedge_miss = work.miss_chance(0.0, left_ms - WAY_MS, slowdown, &self.service.speed);
-        (miss * (1.0 - hedge_miss) > least).then_some(earliest)
+        let hedge_miss_chance =
+            work.miss_chance(0.0, left_ms - ROUND_TRIP_MS, slowdown, &self.service.speed);
+        (miss_chance * (1.0 - hedge_miss_chance) > gain_min).then_some(earliest)
     }
 
-    fn hedge_worth_it(&mut self) -> Option<Forecast> {
+    /// Chooses a hedge by the expected time of the answers, if the attempts in flight are expected to miss the aim.
+    fn hedge_by_time_saved(&mut self) -> Option<Forecast> {
         let work_ms = self.work_ms();
-        let left_ms = self.least_left_ms(work_ms)?;
-        let to_aim_ms = self.request.to_aim_ms(self.now);
-        if left_ms <= to_aim_ms {
+        let left_ms = self.min_left_ms(work_ms)?;
+        let time_to_aim_ms = self.request.time_to_aim_ms(self.now);
+        if left_ms <= time_to_aim_ms {
             return None;
         }
         let earliest = self.earliest(Lane::Any)?;
         let gain_ms = left_ms - earliest.answer_ms;
-        let meets_aim = earliest.answer_ms <= to_aim_ms;
+        let meets_aim = earliest.answer_ms <= time_to_aim_ms;
         let is_worth_it = meets_aim || earliest.answer_ms * LATE_HEDGE_FACTOR < left_ms;
-        (is_worth_it && gain_ms > work_ms * HEDGE_GAIN_SHARE).then_some(earliest)
+        (is_worth_it && gain_ms > work_ms * HEDGE_GAIN_SHARE_MIN).then_some(earliest)
     }
 
-    /// Time until the first of the attempts under way is expected to be answered, in milliseconds.
-    fn least_left_ms(&self, work_ms: f32) -> Option<f32> {
+    /// Expected time until the first answer of the attempts in flight, in milliseconds.
+    fn min_left_ms(&self, work_ms: f32) -> Option<f32> {
         self.request
             .sent
             .iter()
@@ -245,8 +254,8 @@
             .min_by(f32::total_cmp)
     }
 
-    /// Learns from an answer how long the route's requests work, whether work keeps its speed, and how
-    /// full targets slow down.
+    /// Updates three estimates by an answer: the work of the route's requests, whether work keeps the speed with which
+    /// it began, and the slowdown of nearly full targets.
     pub(crate) fn learn_work(&mut self, attempt: AttemptId, report: Option<&LoadReport>) {
         let (now, service) = (self.now, self.service);
         let (Some(route), Some(report)) = (&self.request.route, report) else {
@@ -267,7 +276,7 @@
             return;
         };
         if progress.is_crowded {
-            let factor = (work_ms / route.work_ms()).clamp(1.0, CROWDING_MOST);
+            let factor = (work_ms / route.work_ms()).clamp(1.0, CROWDING_MAX);
             service.crowding.record(factor, CROWDING_WEIGHT);
         } else {
             route.record_work(work_ms);
--- a/crates/pinhaven-decide/tests/admission.rs
+++ b/crates/pinhaven-decide/tests/admission.rs
@@ -1,4 +1,7 @@
-//! When a request is taken, when it waits and when it is refused.
+//! Admission: when a request is sent, when it waits at the entry and when it is refused.
+//!
+//! The tests guard against requests that wait until their deadline instead of being refused early, capacity that is
+//! lost when a request ends, and refused callers that all retry at the same time.
 
 mod common;
 
@@ -33,7 +36,7 @@
 
 #[test]
 fn a_busy_entry_refuses_low_priorities_first() {
-    // (priority, use of the entry, whether it is refused)
+    // (priority, utilization of the entry, whether the request is refused)
     let table = [
         (0, 0.5, false),
         (0, 0.7, true),
@@ -42,18 +45,21 @@
         (3, 0.99, false),
         (3, 1.0, true),
     ];
-    for (priority, entry_use, is_refused) in table {
+    for (priority, entry_utilization, is_refused) in table {
         let service = state_with(3, json!({"priority": priority}));
         let mut facts = RequestFacts::new(true, at_ms(1_000));
-        facts.entry_use = entry_use;
+        facts.entry_utilization = entry_utilization;
         let (_held, outcome) = arrive(&service, facts);
         let reason = outcome.refused.map(|refusal| refusal.reason);
         let expected = is_refused.then_some(RefusalReason::EntryFull);
-        assert_eq!(reason, expected, "priority {priority} at {entry_use}");
+        assert_eq!(
+            reason, expected,
+            "priority {priority} at {entry_utilization}"
+        );
     }
 }
 
-/// Fills all places of a service that has few.
+/// Sends requests until no further one is sent; returns the requests in flight.
 fn fill(service: &Arc<ServiceState>) -> Vec<Driven> {
     let mut held = Vec::new();
     loop {
@@ -71,9 +77,9 @@
     let service = state_with(1, json!({"slots": 4, "entries_named": 1}));
     let mut held = fill(&service);
     let (mut waiting, outcome) = arrive(&service, RequestFacts::new(true, at_ms(1_000)));
-    assert!(outcome.wants_place, "{outcome:?}");
+    assert!(outcome.awaits_capacity, "{outcome:?}");
     held.pop();
-    let outcome = waiting.handle(5, Event::PlaceFreed);
+    let outcome = waiting.handle(5, Event::CapacityFreed);
     assert_eq!(outcome.sent, 1);
 }
 
@@ -84,7 +90,7 @@
     let (mut waiting, outcome) = arrive(&service, RequestFacts::new(true, at_ms(1_000)));
     let wake_at = outcome.wake_at.unwrap();
     assert!(wake_at <= at_ms(200), "{wake_at}");
-    let refusal = waiting.handle(200, Event::TimeCame).refused.unwrap();
+    let refusal = waiting.handle(200, Event::TimerFired).refused.unwrap();
     assert_eq!(refusal.reason, RefusalReason::Overloaded);
     assert_eq!(refusal.run_state, RunState::NotRun);
     assert_eq!(service.waiting(), 0);
@@ -148,7 +154,7 @@
     assert!(service.in_flight_limit() > shrunk * 1.5);
 }
 
-/// Keeps the service in use while requests are answered with a queue in the report.
+/// Keeps the limit in use while requests are answered with `waiting` requests in the report.
 fn answer_many(service: &Arc<ServiceState>, count: u32, waiting: u32) {
     let mut held = Vec::new();
     for _ in 0..count {
--- a/crates/pinhaven-decide/tests/common/driven.rs
+++ b/crates/pinhaven-decide/tests/common/driven.rs
@@ -1,4 +1,4 @@
-//! A request of the forecasting policy, driven by hand.
+//! Test driver for a request under the forecasting policy.
 
 use super::at_ms;
 use super::service_with;
@@ -17,11 +17,11 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// Work of a request at a target of usual speed until it was measured: a third of the aim.
+/// Default aim of a request. Until its work is measured, the work at usual speed is estimated as a third of the aim.
 pub const AIM_MS: u64 = 300;
-/// An aim of requests that are done before a target's speed changes.
+/// Aim of requests that are short enough to end before the speed of a target changes.
 pub const SHORT_AIM_MS: u64 = 120;
-/// An aim of requests that take longer than that.
+/// Aim of requests during which the speed of a target may change.
 pub const LONG_AIM_MS: u64 = 900;
 
 pub fn service(targets: u16, slots: u32) -> Arc<ServiceState> {
@@ -42,7 +42,7 @@
     pub service: Arc<ServiceState>,
     pub request: RequestState,
     pub random: fastrand::Rng,
-    /// Attempts under way, by number.
+    /// Attempts by index; `None` for an attempt that has ended.
     pub attempts: Vec<Option<Attempt>>,
     pub step: Step,
 }
@@ -96,11 +96,11 @@
         }
     }
 
-    /// Lets time pass to `until_ms`, looking whenever the request asks to.
+    /// Advances the time to `until_ms` and passes in the timer events that the request asks for.
     pub fn wait(&mut self, until_ms: u64) {
         while let Some(wake_at) = self.step.wake_at.filter(|at| *at <= at_ms(until_ms)) {
             let wake_ms = wake_at.saturating_sub(at_ms(0)).count().div_ceil(1_000);
-            self.handle(wake_ms, Event::TimeCame);
+            self.handle(wake_ms, Event::TimerFired);
         }
     }
 
@@ -128,7 +128,7 @@
         );
     }
 
-    /// Lets the target turn slow and report it at `slow_ms`, and the answer come at `time_ms`.
+    /// Reports `slowdown` for the target of `attempt` at `slow_ms`, and answers the attempt at `time_ms`.
     pub fn answer_with(&mut self, attempt: usize, slow_ms: u64, time_ms: u64, slowdown: f32) {
         let target = self.target(attempt);
         let id = self.attempts[attempt].take().unwrap().id;
@@ -161,7 +161,8 @@
     }
 }
 
-/// Answers of a target that turns slow just after each request has begun, after `took_ms` each.
+/// Creates a service whose only target reports a slowdown shortly after the start of each of 20 requests and answers
+/// each request after `took_ms`.
 pub fn service_whose_work_took(took_ms: u64) -> Arc<ServiceState> {
     let service = service(1, 4);
     for round in 0..20 {
--- a/crates/pinhaven-decide/tests/common/mod.rs
+++ b/crates/pinhaven-decide/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the decisions share.
+//! Helpers that the tests of this crate share.
 #![allow(dead_code)]
 
 pub mod driven;
@@ -20,12 +20,12 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// A point on the tests' clock.
+/// Time `time_ms` milliseconds after the start of a test.
 pub fn at_ms(time_ms: u64) -> Microseconds {
     Microseconds::from_ms(1_000_000 + time_ms)
 }
 
-/// A service with `targets` targets and some fields set.
+/// Configuration of a service with `targets` targets and the given `fields`.
 pub fn service_with(targets: u16, fields: Value) -> Service {
     let targets: Vec<Value> = (0..targets)
         .map(|number| {
@@ -42,13 +42,13 @@
     serde_json::from_value(service).unwrap()
 }
 
-/// The state of such a service.
+/// State of a service with `targets` targets and the given `fields`.
 pub fn state_with(targets: u16, fields: Value) -> Arc<ServiceState> {
     let service = service_with(targets, fields);
     Arc::new(ServiceState::new(&service, None, at_ms(0)))
 }
 
-/// A good answer with a report.
+/// Successful answer with a report of `running` and `waiting` requests.
 pub fn good(running: u32, waiting: u32) -> AttemptOutcome {
     AttemptOutcome::Answered {
         is_server_error: false,
@@ -61,13 +61,13 @@
     }
 }
 
-/// An answer that says that the target failed.
+/// Answer that reports a failure of the target.
 pub const FAILED: AttemptOutcome = AttemptOutcome::Answered {
     is_server_error: true,
     report: None,
 };
 
-/// A request being driven.
+/// A request with the service and the random generator that it uses, and its attempts in flight.
 pub struct Driven {
     pub service: Arc<ServiceState>,
     pub request: RequestState,
@@ -85,23 +85,23 @@
         }
     }
 
-    /// A request that may be repeated and has a second.
+    /// Creates a repeatable request with a deadline of one second.
     pub fn repeatable(service: &Arc<ServiceState>) -> Self {
         Self::new(service, RequestFacts::new(true, at_ms(1_000)))
     }
 
-    /// A request that may not be repeated and has a second.
+    /// Creates a request that is not repeatable, with a deadline of one second.
     pub fn once(service: &Arc<ServiceState>) -> Self {
         Self::new(service, RequestFacts::new(false, at_ms(1_000)))
     }
 
-    /// Hands an event in, keeps new attempts, drops cancelled ones, and gives the rest back.
+    /// Passes an event to the request, holds new attempts, drops cancelled ones and returns a summary of the step.
     pub fn handle(&mut self, time_ms: u64, event: Event) -> Outcome {
         let now = at_ms(time_ms);
         let Step {
             actions,
             wake_at,
-            wants_place,
+            awaits_capacity,
         } = self
             .request
             .handle(&self.service, now, &mut self.random, event);
@@ -111,7 +111,7 @@
             delivered: None,
             refused: None,
             wake_at,
-            wants_place,
+            awaits_capacity,
         };
         for action in actions {
             match action {
@@ -130,7 +130,7 @@
         outcome
     }
 
-    /// Ends an attempt.
+    /// Ends the attempt with index `attempt`.
     pub fn end(&mut self, time_ms: u64, attempt: u32, ended: AttemptOutcome) -> Outcome {
         let id = AttemptId(attempt);
         self.under_way.retain(|attempt| attempt.id != id);
@@ -142,7 +142,7 @@
     }
 }
 
-/// What a step said.
+/// Summary of a step.
 #[derive(Debug)]
 pub struct Outcome {
     pub sent: usize,
@@ -150,7 +150,7 @@
     pub delivered: Option<AttemptId>,
     pub refused: Option<Refusal>,
     pub wake_at: Option<Microseconds>,
-    pub wants_place: bool,
+    pub awaits_capacity: bool,
 }
 
 impl Outcome {
--- a/crates/pinhaven-decide/tests/forecast.rs
+++ b/crates/pinhaven-decide/tests/forecast.rs
@@ -93,7 +93,7 @@
     let _holder = Driven::new(&service, true, 1_000);
     let mut waiting = Driven::new(&service, true, 1_000);
     assert!(waiting.attempts.is_empty());
-    assert!(waiting.step.wants_place);
+    assert!(waiting.step.awaits_capacity);
     assert_eq!(service.waiting(), 1);
     waiting.wait(1_040);
     assert_eq!(waiting.refusal(), None);
@@ -110,9 +110,9 @@
     let mut low = Driven::with_facts(&service, 1_000, priority(1));
     let mut high = Driven::with_facts(&service, 1_000, priority(2));
     holder.answer(0, 1_010);
-    low.handle(1_010, Event::PlaceFreed);
+    low.handle(1_010, Event::CapacityFreed);
     assert!(low.attempts.is_empty(), "the more urgent one still waits");
-    high.handle(1_010, Event::PlaceFreed);
+    high.handle(1_010, Event::CapacityFreed);
     assert_eq!(high.attempts.len(), 1);
 }
 
@@ -124,7 +124,7 @@
     service.targets()[0].record_peer_in_flight(0, 3);
     // Its caller has waited for longer than the aim, on tries that failed.
     let late = Driven::with_aim(&service, 1_010, SHORT_AIM_MS, |facts| {
-        facts.waited = Microseconds::from_ms(SHORT_AIM_MS + 100);
+        facts.prior_wait = Microseconds::from_ms(SHORT_AIM_MS + 100);
     });
     assert_eq!(late.target(0), 1);
     let in_time = Driven::with_aim(&service, 1_010, SHORT_AIM_MS, |_| {});
@@ -139,14 +139,14 @@
     service.targets()[0].record_peer_in_flight(0, 3);
     // A target is slow for some 500 ms, in which it would do a fourth of this work.
     let late = Driven::with_aim(&service, 1_010, LONG_AIM_MS, |facts| {
-        facts.waited = Microseconds::from_ms(LONG_AIM_MS + 100);
+        facts.prior_wait = Microseconds::from_ms(LONG_AIM_MS + 100);
         facts.deadline = at_ms(9_000);
     });
     assert!(late.attempts.is_empty(), "its work would be done later");
     // While others have room enough, nobody is harmed.
     service.targets()[0].record_peer_in_flight(3, 0);
     let late = Driven::with_aim(&service, 1_020, LONG_AIM_MS, |facts| {
-        facts.waited = Microseconds::from_ms(LONG_AIM_MS + 100);
+        facts.prior_wait = Microseconds::from_ms(LONG_AIM_MS + 100);
         facts.deadline = at_ms(9_000);
     });
     assert_eq!(late.target(0), 0);
--- a/crates/pinhaven-decide/tests/forecast_attempts.rs
+++ b/crates/pinhaven-decide/tests/forecast_attempts.rs
@@ -76,7 +76,7 @@
     service.set_added_at_once(0.0, 0.0);
     let mut driven = Driven::with_facts(&service, 1_000, |facts| {
         facts.is_repeatable = false;
-        facts.attempts_most = 1;
+        facts.attempts_max = 1;
     });
     let first = driven.target(0);
     for attempt in 0..2 {
@@ -133,7 +133,7 @@
         json!({"policy": "forecast", "slots": 4, "hedge_budget_percent": 20.0}),
     );
     let service = Arc::new(ServiceState::new(&wide, Some(&service), at_ms(90_000)));
-    let mut driven = Driven::with_facts(&service, 100_000, |facts| facts.attempts_most = 2);
+    let mut driven = Driven::with_facts(&service, 100_000, |facts| facts.attempts_max = 2);
     let id = driven.attempts[0].take().unwrap().id;
     let outcome = AttemptOutcome::Broken;
     driven.handle(
--- a/crates/pinhaven-decide/tests/orders.rs
+++ b/crates/pinhaven-decide/tests/orders.rs
@@ -171,11 +171,11 @@
     let mut request = Driven::new(&service, false, 0);
     let first = request.target(0);
     rest(&service, &[first], 1, 3_000);
-    end(&mut request, 0, 2, AttemptOutcome::Closed);
+    end(&mut request, 0, 2, AttemptOutcome::TargetClosed);
     assert_eq!(request.target(1), 1 - first);
     assert_eq!(service.counts().retries, 0, "it costs no budget");
     rest(&service, &[1 - first], 3, 2_000);
-    end(&mut request, 1, 3, AttemptOutcome::Closed);
+    end(&mut request, 1, 3, AttemptOutcome::TargetClosed);
     let refusal = refusal_of(&request);
     assert_eq!(refusal.reason, RefusalReason::Resting);
     assert_eq!(refusal.run_state, RunState::NotRun);
@@ -255,7 +255,7 @@
     let busy = self::service(1, 1);
     let _holder = Driven::new(&busy, true, 0);
     let mut queued = Driven::new(&busy, true, 1);
-    assert!(queued.step.wants_place);
+    assert!(queued.step.awaits_capacity);
     rest(&busy, &[0], 2, 3_000);
     queued.wait(20);
     assert_eq!(refusal_of(&queued).reason, RefusalReason::Resting);
--- a/crates/pinhaven-decide/tests/restarts.rs
+++ b/crates/pinhaven-decide/tests/restarts.rs
@@ -143,7 +143,7 @@
     let mut second = Driven::new(&after, true, 1_010);
     assert!(second.attempts.is_empty(), "nothing was answered yet");
     first.answer(0, 1_030);
-    second.handle(1_030, Event::PlaceFreed);
+    second.handle(1_030, Event::CapacityFreed);
     let third = Driven::new(&after, true, 1_030);
     assert_eq!((second.attempts.len(), third.attempts.len()), (1, 1));
     let fourth = Driven::new(&after, true, 1_030);
--- a/crates/pinhaven-decide/tests/retries.rs
+++ b/crates/pinhaven-decide/tests/retries.rs
@@ -1,4 +1,8 @@
-//! What follows a failed attempt: a table of cases, and a long random run.
+//! Retries and refusals after failed attempts.
+//!
+//! The tests guard against a request that runs twice although it is not repeatable, a refusal that wrongly states that
+//! the request did not run, and retries that multiply over several levels of services or exceed their budget. Besides
+//! tables of cases, random sequences of events are run.
 
 mod common;
 
@@ -22,7 +26,7 @@
 
 #[test]
 fn a_failed_attempt_is_followed_as_the_table_says() {
-    // (may be repeated, how the first attempt ended, whether another follows)
+    // (whether the request is repeatable, outcome of the first attempt, whether another attempt is sent)
     let table = [
         (true, AttemptOutcome::NotSent, true),
         (true, SHED, true),
@@ -49,7 +53,7 @@
 
 #[test]
 fn a_refusal_says_whether_the_request_ran() {
-    // (may be repeated, how its only attempt ended, what is said)
+    // (whether the request is repeatable, outcome of the only attempt, run state in the refusal)
     let table = [
         (true, AttemptOutcome::NotSent, RunState::NotRun),
         (true, SHED, RunState::NotRun),
@@ -61,7 +65,7 @@
     for (is_repeatable, ended, said) in table {
         let service = state_with(4, json!({}));
         let mut facts = RequestFacts::new(is_repeatable, at_ms(1_000));
-        facts.attempts_most = 1;
+        facts.attempts_max = 1;
         let mut driven = Driven::new(&service, facts);
         driven.handle(0, Event::Arrived);
         let refusal = driven.end(5, 0, ended).refused.unwrap();
@@ -87,7 +91,7 @@
     let mut driven = Driven::once(&service);
     let arrived = driven.handle(0, Event::Arrived);
     assert_eq!(arrived.wake_at, Some(at_ms(1_000)));
-    let outcome = driven.handle(1_000, Event::TimeCame);
+    let outcome = driven.handle(1_000, Event::TimerFired);
     let refusal = outcome.refused.unwrap();
     assert_eq!(refusal.reason, RefusalReason::DeadlineCame);
     assert_eq!(refusal.run_state, RunState::Unknown);
@@ -101,7 +105,7 @@
     facts.is_replayable = false;
     let mut driven = Driven::new(&service, facts);
     driven.handle(0, Event::Arrived);
-    let hedge = driven.handle(200, Event::TimeCame);
+    let hedge = driven.handle(200, Event::TimerFired);
     assert_eq!(hedge.sent, 0);
     let outcome = driven.end(201, 0, SHED);
     assert_eq!(outcome.refused.unwrap().reason, RefusalReason::Shed);
@@ -127,7 +131,7 @@
             attempt += 1;
         }
     }
-    // The bucket holds 20 at the start.
+    // The bucket starts with 20 tokens.
     assert!(added as u64 <= requests / 10 + 20, "{added} added attempts");
 }
 
@@ -143,21 +147,22 @@
 
 #[test]
 fn attempts_grow_with_depth_and_do_not_multiply() {
-    // Every level fails; each hands down what is left and is told what remains.
+    // Every level fails. Each level passes on its remaining attempts and gets back how many are left. Without this
+    // limit the number of attempts at the lowest level would grow exponentially with the number of levels.
     fn attempts_below(depth: u32, allowed: u32) -> (u32, u32) {
         if depth == 0 {
             return (1, allowed - 1);
         }
         let service = state_with(4, json!({}));
         let mut facts = RequestFacts::new(true, at_ms(1_000));
-        facts.attempts_most = allowed;
+        facts.attempts_max = allowed;
         let mut driven = Driven::new(&service, facts);
         driven.handle(0, Event::Arrived);
         let mut total = 0;
         let mut attempt = 0;
         loop {
             let id = AttemptId(attempt);
-            let (used, left) = attempts_below(depth - 1, driven.request.attempts_to_hand_down(id));
+            let (used, left) = attempts_below(depth - 1, driven.request.downstream_attempts(id));
             total += used;
             driven.request.limit_added_attempts(left);
             let outcome = driven.end(5, attempt, FAILED);
@@ -169,10 +174,11 @@
         }
     }
     let (total, _) = attempts_below(22, 3);
-    assert!(total <= 3, "{total} attempts at the bottom of 22 levels");
+    assert!(total <= 3, "{total} attempts at the lowest of 22 levels");
 }
 
-/// Drives one request with random events; true when it ends as it must.
+/// Drives one request with random events. Returns whether it ended at most once, was never reported as not run while it
+/// may have run, and never had two attempts in flight unless it is repeatable.
 fn one_random_request(seed: u64, is_repeatable: bool, events: Vec<u8>) -> bool {
     let service = state_with(3, json!({}));
     let mut driven = Driven::new(&service, RequestFacts::new(is_repeatable, at_ms(500)));
@@ -196,9 +202,9 @@
         };
         time_ms += u64::from(draw % 40);
         next = match (draw % 8, driven.under_way.is_empty()) {
-            (0, _) => Event::TimeCame,
-            (1, _) => Event::PlaceFreed,
-            (_, true) => Event::TimeCame,
+            (0, _) => Event::TimerFired,
+            (1, _) => Event::CapacityFreed,
+            (_, true) => Event::TimerFired,
             (kind, false) => {
                 let attempt = driven.under_way.remove(0);
                 let outcome = match kind {
--- a/crates/pinhaven-entry/src/request/dispatch.rs
+++ b/crates/pinhaven-entry/src/request/dispatch.rs
@@ -50,12 +50,12 @@
         is_repeatable: job.is_repeatable,
         is_replayable: job.body.is_replayable(),
         deadline: job.deadline,
-        attempts_most: job
+        attempts_max: job
             .attempts_most
-            .unwrap_or(RequestFacts::new(true, job.deadline).attempts_most),
-        entry_use: job.entry.use_share(),
+            .unwrap_or(RequestFacts::new(true, job.deadline).attempts_max),
+        entry_utilization: job.entry.use_share(),
         priority: job.routed.config().map(|route| route.priority),
-        waited: job.waited,
+        prior_wait: job.waited,
     };
     let mut request = RequestState::new(facts);
     if let Some(route) = &job.routed.route {
@@ -118,7 +118,7 @@
         loop {
             // Listening begins before the actions, so that no freed place is missed.
             let place = step
-                .wants_place
+                .awaits_capacity
                 .then(|| self.job.service.place_freed.listen(self.priority()));
             for action in std::mem::take(&mut step.actions) {
                 match action {
@@ -222,7 +222,7 @@
             chosen: chosen(&attempt),
         });
         self.job.entry.counters.add(Count::Attempts);
-        let attempts = self.request.attempts_to_hand_down(attempt.id);
+        let attempts = self.request.downstream_attempts(attempt.id);
         let outcome = match request_for(self.job, &attempt, attempts) {
             Some(prepared) => {
                 let future = run_attempt(
@@ -267,13 +267,13 @@
             if let Some(place) = &mut place
                 && Pin::new(place).poll(context).is_ready()
             {
-                return Poll::Ready(Err(Event::PlaceFreed));
+                return Poll::Ready(Err(Event::CapacityFreed));
             }
             if ending.as_mut().poll(context).is_ready() {
-                return Poll::Ready(Err(Event::EntryEnds));
+                return Poll::Ready(Err(Event::EntryStopping));
             }
             match Pin::new(&mut timer).poll(context) {
-                Poll::Ready(_) => Poll::Ready(Err(Event::TimeCame)),
+                Poll::Ready(_) => Poll::Ready(Err(Event::TimerFired)),
                 Poll::Pending => Poll::Pending,
             }
         })
@@ -295,7 +295,7 @@
             }
             AttemptEnd::Closed => {
                 self.free_place(attempt, Count::AttemptClosed);
-                AttemptOutcome::Closed
+                AttemptOutcome::TargetClosed
             }
             AttemptEnd::Crashed | AttemptEnd::Restarted => {
                 self.may_have_run = true;
--- a/crates/pinhaven-lab/src/emulate/world.rs
+++ b/crates/pinhaven-lab/src/emulate/world.rs
@@ -177,7 +177,7 @@
                 self.hear_orders(request, attempt, &orders);
                 self.attempt_ended(request, attempt, outcome);
             }
-            What::Wake(call) => self.handle(call, Event::TimeCame),
+            What::Wake(call) => self.handle(call, Event::TimerFired),
             What::SpeedChanges(target) => self.change_speed(target),
             What::News => self.tell_news(),
             What::Probes => self.probe(),
@@ -229,7 +229,7 @@
             .plus(Microseconds::new((left_ms.max(0.0) * 1_000.0) as u64));
         let mut facts = RequestFacts::new(plan.is_repeatable, deadline);
         facts.priority = Some(plan.priority);
-        facts.waited = Microseconds::new((waited_ms * 1_000.0) as u64);
+        facts.prior_wait = Microseconds::new((waited_ms * 1_000.0) as u64);
         RequestState::new(facts).with_route(Arc::clone(&self.entries[entry].routes[kind]))
     }
 
@@ -253,8 +253,8 @@
         let call = &mut self.calls[number];
         let service = Arc::clone(&self.entries[call.entry].service);
         let step = call.state.handle(&service, now, &mut self.random, event);
-        let wanted_place = std::mem::replace(&mut call.wants_place, step.wants_place);
-        if step.wants_place && !wanted_place {
+        let wanted_place = std::mem::replace(&mut call.wants_place, step.awaits_capacity);
+        if step.awaits_capacity && !wanted_place {
             let entry = call.entry;
             self.entries[entry].waiting.push_back(number);
         }
@@ -332,7 +332,7 @@
             .copied()
             .min_by_key(urgency);
         if let Some(first) = first {
-            self.handle(first, Event::PlaceFreed);
+            self.handle(first, Event::CapacityFreed);
         }
     }
 
