--- a/crates/pinhaven-decide/tests/choice.rs
+++ b/crates/pinhaven-decide/tests/choice.rs
@@ -1,4 +1,7 @@
-//! Which target is chosen, and which never is.
+//! Target selection by the policies other than the forecasting one.
+//!
+//! The tests guard against requests to targets that leave, are stuck, fail or have just started, and against load that
+//! is not spread evenly over the others.
 
 mod common;
 
@@ -36,7 +39,7 @@
     driven.under_way.pop()
 }
 
-/// How often each target is chosen when nothing is answered in between.
+/// Counts how often each target is chosen for `count` requests that are not answered.
 fn picks(service: &Arc<ServiceState>, time_ms: u64, count: u64) -> BTreeMap<String, u32> {
     let mut picks = BTreeMap::new();
     for seed in 0..count {
@@ -57,7 +60,7 @@
         let picks = picks(&service, 0, 300);
         let left = service.targets()[2].address().to_string();
         assert!(!picks.contains_key(&left), "{policy}: {picks:?}");
-        assert_eq!(picks.len(), 4, "{policy}: the others are all used");
+        assert_eq!(picks.len(), 4, "{policy}: all other targets are used");
         let sent: u32 = picks.values().sum();
         assert_eq!(sent, 300, "{policy}: no request is refused");
     }
@@ -92,7 +95,10 @@
     let third = ServiceState::new(&listed_leaving, Some(&second), at_ms(20));
     assert!(third.targets()[1].is_leaving());
     let fourth = ServiceState::new(&bundle, Some(&third), at_ms(30));
-    assert!(!fourth.targets()[1].is_leaving(), "operators put it back");
+    assert!(
+        !fourth.targets()[1].is_leaving(),
+        "listed as active again after it was listed as leaving"
+    );
 }
 
 #[test]
@@ -183,7 +189,7 @@
         }
         assert!(
             at_bad <= 30,
-            "{policy}: {at_bad} of 1000 went to the failing target"
+            "{policy}: {at_bad} of 1000 requests went to the failing target"
         );
     }
 }
@@ -221,7 +227,7 @@
         driven.handle(time_ms, Event::Arrived);
         let is_it = driven.under_way[0].target.address() == target.address();
         driven.end(time_ms, 0, if is_it { FAILED } else { good(0, 0) });
-        assert!(time_ms < 60_000, "it is never ejected");
+        assert!(time_ms < 60_000, "the target is never ejected");
     }
     let mut until_ms = time_ms..time_ms + 10_000;
     let back_ms = until_ms.find(|ms| !target.is_ejected(at_ms(*ms))).unwrap();
@@ -229,13 +235,17 @@
     for seed in 0..12 {
         held.extend(send_one(&service, back_ms + 1, seed));
     }
-    assert!(target.in_flight() <= 1, "{} at once", target.in_flight());
+    assert!(
+        target.in_flight() <= 1,
+        "{} in flight just after the ejection",
+        target.in_flight()
+    );
     drop(held);
     let mut held = Vec::new();
     for seed in 0..12 {
         held.extend(send_one(&service, back_ms + 60_000, seed));
     }
-    assert_eq!(target.in_flight(), 3, "its full share after a while");
+    assert_eq!(target.in_flight(), 3, "full share after the warm-up");
 }
 
 #[test]
