--- a/crates/pinhaven-decide/src/crashes/mod.rs
+++ b/crates/pinhaven-decide/src/crashes/mod.rs
@@ -15,8 +15,8 @@
 
 mod crash_count;
 mod evidence;
-mod judgement;
 mod suspects;
+mod verdict;
 
 pub(crate) use crash_count::CrashCount;
 pub use evidence::CrashedRun;
--- a/crates/pinhaven-decide/src/progress.rs
+++ b/crates/pinhaven-decide/src/progress.rs
@@ -4,11 +4,11 @@
 //! it began; [`ServiceSpeed`] says how likely each is. Which speed an attempt began with is not known
 //! exactly: the last report before it and the first one after it are weighed by how near they are.
 
+use crate::fixed_speed::WorkDone;
 use crate::forecast::Forecast;
-use crate::in_time::Work;
-use crate::kept_speed::WorkDone;
 use crate::speed::ServiceSpeed;
 use crate::target::TargetState;
+use crate::work_estimate::Work;
 use pinhaven_types::Microseconds;
 
 /// Work past which a request counts as stuck, in times the work of its route.
--- a/crates/pinhaven-decide/src/route.rs
+++ b/crates/pinhaven-decide/src/route.rs
@@ -1,8 +1,8 @@
 //! What an entry has learned of one route: how long its requests work.
 
 use crate::atomic::LearnedMedian;
-use crate::in_time::Work;
-use crate::usual_deadline::UsualDeadline;
+use crate::initial_deadline::UsualDeadline;
+use crate::work_estimate::Work;
 use pinhaven_types::Microseconds;
 
 /// Share of a route's aim that its work is thought to take until it has been measured.
--- a/crates/pinhaven-decide/src/speed.rs
+++ b/crates/pinhaven-decide/src/speed.rs
@@ -6,7 +6,7 @@
 //! Whether work follows that speed or keeps its first one is [`KeptSpeed`]'s to say.
 
 use crate::atomic::AtomicF32;
-use crate::kept_speed::KeptSpeed;
+use crate::fixed_speed::KeptSpeed;
 use pinhaven_types::Microseconds;
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
--- a/crates/pinhaven-types/src/lib.rs
+++ b/crates/pinhaven-types/src/lib.rs
@@ -8,7 +8,7 @@
 mod name;
 mod promise;
 mod quantity;
-mod request_print;
+mod request_fingerprint;
 mod target_incarnation;
 
 pub use digest::Digest;
@@ -33,7 +33,7 @@
 pub use quantity::Percent;
 pub use quantity::RequestRate;
 pub use quantity::TargetAddress;
-pub use request_print::RequestPrint;
+pub use request_fingerprint::RequestPrint;
 pub use target_incarnation::TargetIncarnation;
 
 /// Advice that goes with an error.
