--- a/crates/pinhaven-decide/src/crashes/evidence.rs
+++ b/crates/pinhaven-decide/src/crashes/evidence.rs
@@ -2,7 +2,7 @@
 
 use pinhaven_types::Digest;
 use pinhaven_types::Microseconds;
-use pinhaven_types::RequestPrint;
+use pinhaven_types::RequestFingerprint;
 
 /// Short hash of one run of a target that crashed. All entries that had requests there name it alike.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspectFacts {
     /// The request.
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// The runs that crashed with it under way, and how long ago.
     pub crashes: Vec<(CrashedRun, Microseconds)>,
     /// Times that it was answered well meanwhile, at the least.
--- a/crates/pinhaven-decide/src/crashes/suspects.rs
+++ b/crates/pinhaven-decide/src/crashes/suspects.rs
@@ -7,7 +7,7 @@
 use super::verdict::Standing;
 use super::verdict::standing;
 use pinhaven_types::Microseconds;
-use pinhaven_types::RequestPrint;
+use pinhaven_types::RequestFingerprint;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
@@ -30,7 +30,7 @@
 
 /// Which entry's turn it is: all count the live entries in the same order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TryTurn {
+pub struct TrialTurn {
     /// This entry's place in that order, from 0.
     pub place: u64,
     /// Live entries, this one included.
@@ -39,7 +39,7 @@
 
 /// Whether a request may be sent to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Permit {
+pub enum SendDecision {
     /// It may.
     Sent,
     /// It is held back.
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeldRequest {
     /// The request.
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// Targets that crashed with it under way.
     pub crashes: usize,
     /// Times that it was answered well meanwhile, at the least.
@@ -78,9 +78,9 @@
 /// The requests that were under way when targets crashed, as one entry knows them.
 #[derive(Debug, Clone, Default)]
 pub struct CrashSuspects {
-    suspects: HashMap<RequestPrint, Evidence>,
+    suspects: HashMap<RequestFingerprint, Evidence>,
     /// When this entry last tried a request that had been held back.
-    tried_at: HashMap<RequestPrint, Microseconds>,
+    tried_at: HashMap<RequestFingerprint, Microseconds>,
     /// When it was last looked for requests to forget.
     forgot_at: Microseconds,
 }
@@ -109,7 +109,7 @@
 
     /// The requests that are held back or wait to be tried again.
     pub fn held_back(&self) -> Vec<HeldRequest> {
-        let held = |(print, evidence): (&RequestPrint, &Evidence)| {
+        let held = |(print, evidence): (&RequestFingerprint, &Evidence)| {
             let Standing::Known { since, until } = self.standing(*print) else {
                 return None;
             };
@@ -126,14 +126,14 @@
         held
     }
 
-    fn is_held_back(&self, print: RequestPrint) -> bool {
+    fn is_held_back(&self, print: RequestFingerprint) -> bool {
         matches!(self.standing(print), Standing::Known { .. })
     }
 
     /// Takes in that a target crashed with a request under way that has these prints. Returns who should hear of it.
     pub fn record_crash(
         &mut self,
-        prints: &[RequestPrint],
+        prints: &[RequestFingerprint],
         run: CrashedRun,
         now: Microseconds,
     ) -> Audience {
@@ -150,14 +150,14 @@
 
     /// Who should hear at once what was learned of a request. Nearly all that meet a crash are innocent and meet one
     /// only: a tenth of the targets of a large deployment may crash in one moment.
-    fn audience_of(&self, print: RequestPrint) -> Audience {
+    fn audience_of(&self, print: RequestFingerprint) -> Audience {
         match self.suspects.get(&print) {
             Some(evidence) if evidence.crashes().len() > 1 => Audience::All,
             _ => Audience::Serving,
         }
     }
 
-    fn add_crash(&mut self, print: RequestPrint, crash: Crash, now: Microseconds) -> bool {
+    fn add_crash(&mut self, print: RequestFingerprint, crash: Crash, now: Microseconds) -> bool {
         let has_many = |evidence: &Evidence| evidence.crashes().len() >= CRASHES_KEPT;
         if self.suspects.get(&print).is_some_and(has_many)
             && let Standing::Known { until, .. } = self.standing(print)
@@ -170,7 +170,7 @@
     }
 
     /// Takes in that a request with these prints was answered well. Returns whether one was held back until then.
-    pub fn record_unharmed(&mut self, prints: &[RequestPrint], now: Microseconds) -> bool {
+    pub fn record_success(&mut self, prints: &[RequestFingerprint], now: Microseconds) -> bool {
         let was_held = prints.iter().any(|print| self.is_held_back(*print));
         for print in prints {
             if let Some(evidence) = self.suspects.get_mut(print) {
@@ -183,14 +183,14 @@
     /// How long a request with these prints is held back at `now`; `None` if it may be sent to a target, or sent on to
     /// another one after an attempt that its caller knows nothing of. No request is tried again where the turn is not
     /// known.
-    pub fn held_for(
+    pub fn held_back_for(
         &self,
-        prints: &[RequestPrint],
+        prints: &[RequestFingerprint],
         is_sent_on: bool,
-        turn: Option<TryTurn>,
+        turn: Option<TrialTurn>,
         now: Microseconds,
     ) -> Option<Microseconds> {
-        let held_for = |print: &RequestPrint| match self.standing(*print) {
+        let held_for = |print: &RequestFingerprint| match self.standing(*print) {
             Standing::Clear => None,
             Standing::Watched => is_sent_on.then_some(TURN),
             Standing::Known { until, .. } if now < until => Some(until.saturating_sub(now)),
@@ -201,31 +201,31 @@
     }
 
     /// Lets a request be sent at `now` if it is not held back. If it was until now, that is this turn's try.
-    pub fn permit(
+    pub fn decide_send(
         &mut self,
-        prints: &[RequestPrint],
+        prints: &[RequestFingerprint],
         is_sent_on: bool,
-        turn: Option<TryTurn>,
+        turn: Option<TrialTurn>,
         now: Microseconds,
-    ) -> Permit {
-        if let Some(for_us) = self.held_for(prints, is_sent_on, turn, now) {
-            return Permit::HeldBack { for_us };
+    ) -> SendDecision {
+        if let Some(for_us) = self.held_back_for(prints, is_sent_on, turn, now) {
+            return SendDecision::HeldBack { for_us };
         }
         for print in prints {
             if self.is_held_back(*print) {
                 self.tried_at.insert(*print, now);
             }
         }
-        Permit::Sent
+        SendDecision::Sent
     }
 
     /// How long a request that may be tried again has to wait here; `None` when it is this entry's turn. One try a
     /// turn.
     fn wait_for_turn(
         &self,
-        print: RequestPrint,
+        print: RequestFingerprint,
         until: Microseconds,
-        turn: Option<TryTurn>,
+        turn: Option<TrialTurn>,
         now: Microseconds,
     ) -> Option<Microseconds> {
         let turns = now.saturating_sub(until).count() / TURN.count();
@@ -236,7 +236,7 @@
         (!may_try).then_some(TURN)
     }
 
-    fn standing(&self, print: RequestPrint) -> Standing {
+    fn standing(&self, print: RequestFingerprint) -> Standing {
         match self.suspects.get(&print) {
             Some(evidence) => standing(print, evidence, &self.suspects),
             None => Standing::Clear,
@@ -246,14 +246,14 @@
     /// What there is to tell others of at most `most` requests that were there at `crashes_least` or more: which are held
     /// back, drawn by lot, and what was learned a short while ago, the newest first. Either has half of the places where
     /// there are too many.
-    pub fn to_tell(
+    pub fn advertised_facts(
         &self,
         most: usize,
         crashes_least: usize,
         now: Microseconds,
         random: &mut fastrand::Rng,
     ) -> Vec<SuspectFacts> {
-        let is_worth = |print: &RequestPrint, evidence: &Evidence| {
+        let is_worth = |print: &RequestFingerprint, evidence: &Evidence| {
             let is_recent = now.saturating_sub(evidence.changed_at) < TOLD_AGAIN_FOR;
             let has_enough = evidence.crashes().len() >= crashes_least;
             has_enough && (is_recent || self.is_held_back(*print))
@@ -278,7 +278,7 @@
 
     /// Takes in what another entry tells. What would be forgotten at once is not taken, else entries would tell it each
     /// other for ever.
-    pub fn hear(&mut self, facts: &[SuspectFacts], now: Microseconds) {
+    pub fn merge_peer_facts(&mut self, facts: &[SuspectFacts], now: Microseconds) {
         for said in facts {
             for (run, age) in &said.crashes {
                 let at = now.saturating_sub(*age);
@@ -299,7 +299,7 @@
         if now.saturating_sub(self.forgot_at) >= FORGET_EVERY {
             self.forgot_at = now;
             let prints = self.suspects.keys().copied();
-            let gone: Vec<RequestPrint> = prints
+            let gone: Vec<RequestFingerprint> = prints
                 .filter(|print| !self.is_remembered(*print, now))
                 .collect();
             for print in gone {
@@ -314,7 +314,7 @@
             .retain(|print, _| suspects.contains_key(print));
     }
 
-    fn is_remembered(&self, print: RequestPrint, now: Microseconds) -> bool {
+    fn is_remembered(&self, print: RequestFingerprint, now: Microseconds) -> bool {
         let Some(evidence) = self.suspects.get(&print) else {
             return false;
         };
@@ -327,7 +327,7 @@
 
     /// Makes room for some at once, so that it is not looked for at each crash.
     fn forget_least_suspect(&mut self) {
-        let mut order: Vec<(Reverse<usize>, Reverse<Microseconds>, RequestPrint)> = self
+        let mut order: Vec<(Reverse<usize>, Reverse<Microseconds>, RequestFingerprint)> = self
             .suspects
             .iter()
             .map(|(print, evidence)| {
--- a/crates/pinhaven-decide/src/crashes/verdict.rs
+++ b/crates/pinhaven-decide/src/crashes/verdict.rs
@@ -3,7 +3,7 @@
 use super::evidence::Crash;
 use super::evidence::Evidence;
 use pinhaven_types::Microseconds;
-use pinhaven_types::RequestPrint;
+use pinhaven_types::RequestFingerprint;
 use std::collections::HashMap;
 
 /// Targets that crash with a request under way until it is known for the cause. One in twenty requests of a service
@@ -39,9 +39,9 @@
 
 /// What is thought of a request, given the evidence on all.
 pub(super) fn standing(
-    print: RequestPrint,
+    print: RequestFingerprint,
     evidence: &Evidence,
-    all: &HashMap<RequestPrint, Evidence>,
+    all: &HashMap<RequestFingerprint, Evidence>,
 ) -> Standing {
     let to_stop = wanted(CRASHES_TO_STOP, evidence);
     if evidence.crashes().len() < to_stop {
@@ -69,9 +69,9 @@
 /// The crashes that no other request explains better: one that was there at more crashes than this one, and that is
 /// known for the cause by itself.
 fn unexplained(
-    print: RequestPrint,
+    print: RequestFingerprint,
     evidence: &Evidence,
-    all: &HashMap<RequestPrint, Evidence>,
+    all: &HashMap<RequestFingerprint, Evidence>,
 ) -> Vec<Crash> {
     let count = evidence.crashes().len();
     let explains = |other: &Evidence| {
--- a/crates/pinhaven-decide/src/fixed_speed.rs
+++ b/crates/pinhaven-decide/src/fixed_speed.rs
@@ -23,7 +23,7 @@
 const KEPT_APART: f32 = 1.4;
 /// Work that a target has done on a request, in milliseconds of a target of usual speed.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct WorkDone {
+pub(crate) struct CompletedWork {
     /// If the work follows the target's speed.
     pub(crate) followed_ms: f32,
     /// If it keeps the speed with which it began.
@@ -33,12 +33,12 @@
 /// How likely work is to keep its speed, learned from answers. Until one has told, work is thought to
 /// follow its target's speed.
 #[derive(Debug)]
-pub(crate) struct KeptSpeed {
+pub(crate) struct FixedSpeedEstimate {
     share: AtomicF32,
     samples: AtomicU32,
 }
 
-impl KeptSpeed {
+impl FixedSpeedEstimate {
     pub(crate) fn new() -> Self {
         Self {
             share: AtomicF32::new(0.0),
@@ -58,7 +58,7 @@
     }
 
     /// Takes in an answer after `work_ms` were expected.
-    pub(crate) fn record(&self, work_ms: f32, done: WorkDone) {
+    pub(crate) fn record(&self, work_ms: f32, done: CompletedWork) {
         if log_distance(done.followed_ms, done.kept_ms) < KEPT_APART.ln() {
             return;
         }
--- a/crates/pinhaven-decide/src/forecast.rs
+++ b/crates/pinhaven-decide/src/forecast.rs
@@ -73,7 +73,7 @@
 
 /// Which targets a request may go to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Lane {
+pub(crate) enum TargetFilter {
     /// Those with a usable slot free.
     Any,
     /// Those with a slot free that requests in time don't need.
@@ -134,7 +134,7 @@
     random: &mut fastrand::Rng,
     work_ms: f32,
     tried: &[TargetAddress],
-    lane: Lane,
+    lane: TargetFilter,
 ) -> Option<Forecast> {
     let targets = service.targets();
     if targets.is_empty() {
@@ -158,7 +158,7 @@
         if !is_spare {
             use_of_usual.add(&forecast, slots);
         }
-        if forecast.load >= slots || (lane == Lane::Spare && !is_spare) {
+        if forecast.load >= slots || (lane == TargetFilter::Spare && !is_spare) {
             continue;
         }
         let rank_ms = rank_ms(service, &forecast, now, work_ms);
@@ -167,12 +167,12 @@
             earliest = Some((rank_ms, forecast));
         }
     }
-    if lane == Lane::Spare && use_of_usual.free_share() > SPARE_FREE_SHARE {
-        return self::earliest(service, now, random, work_ms, tried, Lane::Any);
+    if lane == TargetFilter::Spare && use_of_usual.free_share() > SPARE_FREE_SHARE {
+        return self::earliest(service, now, random, work_ms, tried, TargetFilter::Any);
     }
-    if lane == Lane::Spare {
+    if lane == TargetFilter::Spare {
         earliest.take_if(|(_, forecast)| {
-            service.speed.usual_share(work_ms, forecast.slowdown) > SPARE_USUAL_SHARE
+            service.speed.carry_over_share(work_ms, forecast.slowdown) > SPARE_USUAL_SHARE
         });
     }
     earliest.map(|(_, forecast)| forecast)
--- a/crates/pinhaven-decide/src/initial_deadline.rs
+++ b/crates/pinhaven-decide/src/initial_deadline.rs
@@ -27,9 +27,9 @@
 
 /// Counts of the most frequent deadlines. Counts that threads take at the same time may be off by one.
 #[derive(Debug)]
-pub(crate) struct UsualDeadline([Counter; COUNTERS]);
+pub(crate) struct InitialDeadline([Counter; COUNTERS]);
 
-impl UsualDeadline {
+impl InitialDeadline {
     /// Nothing is known yet.
     pub(crate) fn new() -> Self {
         Self(std::array::from_fn(|_| Counter {
@@ -60,7 +60,7 @@
     }
 
     /// The deadline of a first try, if it has come often enough.
-    pub(crate) fn usual(&self) -> Option<Microseconds> {
+    pub(crate) fn initial(&self) -> Option<Microseconds> {
         let usual = self.0.iter().max_by_key(|counter| counter.count())?;
         let deadline_us = usual.deadline_us.load(Ordering::Relaxed);
         (usual.count() >= USUAL_FROM).then(|| Microseconds::new(deadline_us))
--- a/crates/pinhaven-decide/src/progress.rs
+++ b/crates/pinhaven-decide/src/progress.rs
@@ -4,11 +4,11 @@
 //! it began; [`ServiceSpeed`] says how likely each is. Which speed an attempt began with is not known
 //! exactly: the last report before it and the first one after it are weighed by how near they are.
 
-use crate::fixed_speed::WorkDone;
+use crate::fixed_speed::CompletedWork;
 use crate::forecast::Forecast;
 use crate::speed::ServiceSpeed;
 use crate::target::TargetState;
-use crate::work_estimate::Work;
+use crate::work_estimate::WorkEstimate;
 use pinhaven_types::Microseconds;
 
 /// Work past which a request counts as stuck, in times the work of its route.
@@ -89,9 +89,9 @@
     }
 
     /// Work done so far.
-    pub(crate) fn done(&self) -> WorkDone {
+    pub(crate) fn done(&self) -> CompletedWork {
         let time_ms = self.at.saturating_sub(self.began_at).as_ms() as f32;
-        WorkDone {
+        CompletedWork {
             followed_ms: self.followed_ms,
             kept_ms: time_ms / self.begin_slowdown.max(1.0),
         }
@@ -103,23 +103,28 @@
         let followed_ms =
             service.time_if_followed(left_ms(done.followed_ms, work_ms), self.slowdown);
         let kept_ms = left_ms(done.kept_ms, work_ms) * self.begin_slowdown.max(1.0);
-        service.kept.blend(followed_ms, kept_ms)
+        service.fixed_speed.blend(followed_ms, kept_ms)
     }
 
     /// Chance that the target does not answer within another `left_ms`, if work keeps its speed.
-    pub(crate) fn miss_chance(&self, work: Work, left_ms: f32, service: &ServiceSpeed) -> f32 {
+    pub(crate) fn miss_chance(
+        &self,
+        work: WorkEstimate,
+        left_ms: f32,
+        service: &ServiceSpeed,
+    ) -> f32 {
         let time_ms = self.at.saturating_sub(self.began_at).as_ms() as f32;
         work.miss_chance(time_ms, left_ms, self.begin_slowdown, service)
     }
 
     /// The work that the request needed, in milliseconds of a target of usual speed, if its answer tells.
     /// `is_crowded` says whether the target is nearly full at the end.
-    pub(crate) fn work_told_ms(&self, service: &ServiceSpeed, is_crowded: bool) -> Option<f32> {
+    pub(crate) fn observed_work_ms(&self, service: &ServiceSpeed, is_crowded: bool) -> Option<f32> {
         if self.is_cold {
             return None;
         }
         let done = self.done();
-        if service.kept.is_likely() {
+        if service.fixed_speed.is_likely() {
             return (self.begin_slowdown <= USUAL_SLOWDOWN).then_some(done.kept_ms);
         }
         let is_told = self.was_usual && is_crowded == self.is_crowded;
--- a/crates/pinhaven-decide/src/request_end.rs
+++ b/crates/pinhaven-decide/src/request_end.rs
@@ -3,7 +3,7 @@
 use crate::event::Action;
 use crate::event::AttemptId;
 use crate::event::AttemptOutcome;
-use crate::forecast::Lane;
+use crate::forecast::TargetFilter;
 use crate::opening::Opening;
 use crate::refusal::Refusal;
 use crate::refusal::RefusalReason;
@@ -25,7 +25,7 @@
         if !self.request.facts.is_replayable || self.now >= self.request.facts.deadline {
             return false;
         }
-        let Some(forecast) = self.earliest(Lane::Any) else {
+        let Some(forecast) = self.earliest(TargetFilter::Any) else {
             return false;
         };
         let facts = forecast.facts(self.now);
@@ -118,8 +118,8 @@
             return false;
         }
         let target = if self.forecasts() {
-            let in_time = self.earliest(Lane::Any);
-            let forecast = in_time.or_else(|| self.earliest(Lane::Spare));
+            let in_time = self.earliest(TargetFilter::Any);
+            let forecast = in_time.or_else(|| self.earliest(TargetFilter::Spare));
             forecast.map(|forecast| {
                 let facts = forecast.facts(self.now);
                 (forecast.target, Some(facts))
--- a/crates/pinhaven-decide/src/request_forecast.rs
+++ b/crates/pinhaven-decide/src/request_forecast.rs
@@ -10,7 +10,7 @@
 use crate::event::AttemptId;
 use crate::forecast;
 use crate::forecast::Forecast;
-use crate::forecast::Lane;
+use crate::forecast::TargetFilter;
 use crate::progress::Progress;
 use crate::refusal::RefusalReason;
 use crate::report::LoadReport;
@@ -61,7 +61,7 @@
         if let Some(reason) = self.closed_until(self.wait_until()) {
             return self.refuse(reason);
         }
-        if let Some(earliest) = self.earliest(Lane::Any)
+        if let Some(earliest) = self.earliest(TargetFilter::Any)
             && self.is_good(&earliest)
             && self.is_its_turn()
         {
@@ -73,7 +73,7 @@
             return self.begin_wait();
         }
         match self
-            .earliest(Lane::Spare)
+            .earliest(TargetFilter::Spare)
             .filter(|spare| self.is_in_time(spare))
         {
             // There is a slot for a late answer; until it is taken, one in time may still come free.
@@ -101,7 +101,7 @@
         self.plan_look(FIRST_LOOK_SHARE);
     }
 
-    pub(crate) fn earliest(&mut self, lane: Lane) -> Option<Forecast> {
+    pub(crate) fn earliest(&mut self, lane: TargetFilter) -> Option<Forecast> {
         let work_ms = self.work_ms();
         let tried = &self.request.tried;
         forecast::earliest(self.service, self.now, self.random, work_ms, tried, lane)
@@ -197,7 +197,7 @@
     fn likely_hedge(&mut self) -> Option<Forecast> {
         let speed = &self.service.speed;
         let route = self.request.route.as_ref()?;
-        if !speed.kept.is_likely() {
+        if !speed.fixed_speed.is_likely() {
             return None;
         }
         let (work, left_ms) = (route.work(), self.request.to_aim_ms(self.now) - WAY_BACK_MS);
@@ -214,7 +214,7 @@
         if miss <= least {
             return None;
         }
-        let earliest = self.earliest(Lane::Any)?;
+        let earliest = self.earliest(TargetFilter::Any)?;
         let slowdown = earliest.slowdown;
         let hedge_miss = work.miss_chance(0.0, left_ms - WAY_MS, slowdown, &self.service.speed);
         (miss * (1.0 - hedge_miss) > least).then_some(earliest)
@@ -227,7 +227,7 @@
         if left_ms <= to_aim_ms {
             return None;
         }
-        let earliest = self.earliest(Lane::Any)?;
+        let earliest = self.earliest(TargetFilter::Any)?;
         let gain_ms = left_ms - earliest.answer_ms;
         let meets_aim = earliest.answer_ms <= to_aim_ms;
         let is_worth_it = meets_aim || earliest.answer_ms * LATE_HEDGE_FACTOR < left_ms;
@@ -260,10 +260,13 @@
         };
         progress.advance(now, &sent.target, &service.speed);
         if !progress.is_crowded {
-            service.speed.kept.record(route.work_ms(), progress.done());
+            service
+                .speed
+                .fixed_speed
+                .record(route.work_ms(), progress.done());
         }
         let is_crowded = forecast::is_nearly_full(&sent.target, report.running as f32);
-        let Some(work_ms) = progress.work_told_ms(&service.speed, is_crowded) else {
+        let Some(work_ms) = progress.observed_work_ms(&service.speed, is_crowded) else {
             return;
         };
         if progress.is_crowded {
--- a/crates/pinhaven-decide/src/route.rs
+++ b/crates/pinhaven-decide/src/route.rs
@@ -1,8 +1,8 @@
 //! What an entry has learned of one route: how long its requests work.
 
 use crate::atomic::LearnedMedian;
-use crate::initial_deadline::UsualDeadline;
-use crate::work_estimate::Work;
+use crate::initial_deadline::InitialDeadline;
+use crate::work_estimate::WorkEstimate;
 use pinhaven_types::Microseconds;
 
 /// Share of a route's aim that its work is thought to take until it has been measured.
@@ -29,7 +29,7 @@
     work_ms: LearnedMedian,
     /// Median of how far works are from the median work, as the absolute logarithm of their ratio.
     work_off: LearnedMedian,
-    deadlines: UsualDeadline,
+    deadlines: InitialDeadline,
 }
 
 impl RouteState {
@@ -42,7 +42,7 @@
                 WORK_FIRST_SAMPLES,
             ),
             work_off: LearnedMedian::new(WORK_OFF_FIRST, WORK_FIRST_SAMPLES),
-            deadlines: UsualDeadline::new(),
+            deadlines: InitialDeadline::new(),
         }
     }
 
@@ -57,9 +57,9 @@
     /// Takes in the deadline of a request, and returns how long its caller has waited before, on
     /// tries that failed. Callers of a route begin with one deadline and name what is left of it on
     /// each further try.
-    pub fn waited_before(&self, deadline: Microseconds) -> Microseconds {
+    pub fn prior_wait(&self, deadline: Microseconds) -> Microseconds {
         self.deadlines.record(deadline);
-        let usual = self.deadlines.usual().unwrap_or(deadline);
+        let usual = self.deadlines.initial().unwrap_or(deadline);
         usual.saturating_sub(deadline)
     }
 
@@ -74,8 +74,8 @@
     }
 
     /// What is known of the work of its requests.
-    pub(crate) fn work(&self) -> Work {
-        Work {
+    pub(crate) fn work(&self) -> WorkEstimate {
+        WorkEstimate {
             median_ms: self.work_ms.get(),
             spread: self.work_off.get() / MEDIAN_OFF_SHARE,
         }
--- a/crates/pinhaven-decide/src/service.rs
+++ b/crates/pinhaven-decide/src/service.rs
@@ -335,7 +335,7 @@
 
     /// How long a target's speed lasts on average, in milliseconds.
     pub fn speed_lasts_ms(&self) -> f32 {
-        self.speed.lasting_ms()
+        self.speed.mean_duration_ms()
     }
 
     /// The age of a report at which a target should be asked for its speed.
--- a/crates/pinhaven-decide/src/speed.rs
+++ b/crates/pinhaven-decide/src/speed.rs
@@ -3,10 +3,10 @@
 //! Targets share their instances with others, so each turns several times slower and back within
 //! fractions of a second. A report says which; its worth falls with its age, measured against how long
 //! a speed lasts. That time is learned from successive reports, not set.
-//! Whether work follows that speed or keeps its first one is [`KeptSpeed`]'s to say.
+//! Whether work follows that speed or keeps its first one is [`FixedSpeedEstimate`]'s to say.
 
 use crate::atomic::AtomicF32;
-use crate::fixed_speed::KeptSpeed;
+use crate::fixed_speed::FixedSpeedEstimate;
 use pinhaven_types::Microseconds;
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -79,7 +79,7 @@
             return mean;
         };
         let age_ms = now.saturating_sub(at).as_ms() as f32;
-        let still_holds = (-age_ms / service.lasting_ms()).exp();
+        let still_holds = (-age_ms / service.mean_duration_ms()).exp();
         mean + (slowdown - mean) * still_holds
     }
 }
@@ -92,7 +92,7 @@
     observed_ms: AtomicF32,
     changes: AtomicF32,
     /// Whether work keeps the speed with which it began.
-    pub(crate) kept: KeptSpeed,
+    pub(crate) fixed_speed: FixedSpeedEstimate,
 }
 
 impl ServiceSpeed {
@@ -102,7 +102,7 @@
             slow: AtomicF32::new(SLOW_FIRST),
             observed_ms: AtomicF32::new(LASTING_FIRST_MS * CHANGES_PRIOR),
             changes: AtomicF32::new(CHANGES_PRIOR),
-            kept: KeptSpeed::new(),
+            fixed_speed: FixedSpeedEstimate::new(),
         }
     }
 
@@ -111,7 +111,7 @@
         self.slow.set(previous.slow.get());
         self.observed_ms.set(previous.observed_ms.get());
         self.changes.set(previous.changes.get());
-        self.kept.take_over(&previous.kept);
+        self.fixed_speed.take_over(&previous.fixed_speed);
     }
 
     /// How many times longer work takes at slow targets, on average.
@@ -129,12 +129,12 @@
     pub(crate) fn time_for(&self, work_ms: f32, slowdown: f32) -> f32 {
         let followed_ms = self.time_if_followed(work_ms, slowdown);
         let kept_ms = work_ms * slowdown.max(1.0);
-        self.kept.blend_to_begin(followed_ms, kept_ms)
+        self.fixed_speed.blend_to_begin(followed_ms, kept_ms)
     }
 
     /// The same if work follows its target's speed: it is slow for as long as a speed lasts.
     pub(crate) fn time_if_followed(&self, work_ms: f32, slowdown: f32) -> f32 {
-        let lasting_ms = self.lasting_ms();
+        let lasting_ms = self.mean_duration_ms();
         if slowdown <= 1.0 || work_ms * slowdown <= lasting_ms {
             return work_ms * slowdown.max(1.0);
         }
@@ -144,15 +144,15 @@
     /// Time for which `work_ms`, begun at a target that is slow by `slowdown`, is expected to hold a slot
     /// after the target has turned fast again, as a share of the work. That time is taken from requests
     /// that could be served in time; what is done before takes nothing from anybody.
-    pub(crate) fn usual_share(&self, work_ms: f32, slowdown: f32) -> f32 {
+    pub(crate) fn carry_over_share(&self, work_ms: f32, slowdown: f32) -> f32 {
         let slowdown = slowdown.max(1.0);
-        let followed = tail_share(self.lasting_ms() / slowdown, work_ms);
-        let kept = slowdown * tail_share(self.lasting_ms(), work_ms * slowdown);
-        self.kept.blend(followed, kept)
+        let followed = tail_share(self.mean_duration_ms() / slowdown, work_ms);
+        let kept = slowdown * tail_share(self.mean_duration_ms(), work_ms * slowdown);
+        self.fixed_speed.blend(followed, kept)
     }
 
     /// How long a speed lasts on average, in milliseconds.
-    pub(crate) fn lasting_ms(&self) -> f32 {
+    pub(crate) fn mean_duration_ms(&self) -> f32 {
         let lasting_ms = self.observed_ms.get() / self.changes.get();
         lasting_ms.clamp(LASTING_MS.0, LASTING_MS.1)
     }
--- a/crates/pinhaven-decide/src/target.rs
+++ b/crates/pinhaven-decide/src/target.rs
@@ -266,7 +266,7 @@
     /// Whether it has said so recently that its speed may well be the same.
     pub(crate) fn has_recent_report(&self, now: Microseconds, service: &ServiceSpeed) -> bool {
         let age = self.speed.last().map(|(_, at)| now.saturating_sub(at));
-        let recent_ms = (service.lasting_ms() * RECENT_LASTS).min(RECENT_MOST_MS);
+        let recent_ms = (service.mean_duration_ms() * RECENT_LASTS).min(RECENT_MOST_MS);
         age.is_some_and(|age| age.as_ms() as f32 <= recent_ms)
     }
 
--- a/crates/pinhaven-decide/src/work_estimate.rs
+++ b/crates/pinhaven-decide/src/work_estimate.rs
@@ -12,14 +12,14 @@
 
 /// What is known of a route's work.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Work {
+pub(crate) struct WorkEstimate {
     /// Its median at a target of usual speed, in milliseconds.
     pub(crate) median_ms: f32,
     /// Its spread, as the deviation of its logarithm.
     pub(crate) spread: f32,
 }
 
-impl Work {
+impl WorkEstimate {
     /// Chance that work which takes `factor` times as long is not done after `time_ms`.
     fn outlasts(&self, time_ms: f32, factor: f32) -> f32 {
         let over = (time_ms.max(0.1) / (self.median_ms * factor)).ln() / self.spread;
--- a/crates/pinhaven-decide/tests/crashes.rs
+++ b/crates/pinhaven-decide/tests/crashes.rs
@@ -6,15 +6,15 @@
 use pinhaven_decide::CrashSuspects;
 use pinhaven_decide::CrashedRun;
 use pinhaven_decide::Microseconds;
-use pinhaven_decide::Permit;
+use pinhaven_decide::SendDecision;
 use pinhaven_decide::SuspectFacts;
-use pinhaven_decide::TryTurn;
-use pinhaven_types::RequestPrint;
+use pinhaven_decide::TrialTurn;
+use pinhaven_types::RequestFingerprint;
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 
-const HARMFUL: RequestPrint = RequestPrint::new(1);
-const OTHER: RequestPrint = RequestPrint::new(2);
+const HARMFUL: RequestFingerprint = RequestFingerprint::new(1);
+const OTHER: RequestFingerprint = RequestFingerprint::new(2);
 /// Past the first hold, which lasts 120 s.
 const AFTER_FIRST_HOLD_MS: u64 = 130_000;
 /// How long it is one entry's turn.
@@ -31,13 +31,13 @@
 }
 
 /// Whose turn it is always.
-const ONLY_ENTRY: Option<TryTurn> = Some(TryTurn {
+const ONLY_ENTRY: Option<TrialTurn> = Some(TrialTurn {
     place: 0,
     entries: 1,
 });
 
-fn may_be_sent(suspects: &mut CrashSuspects, print: RequestPrint, ms: u64) -> bool {
-    suspects.permit(&[print], false, ONLY_ENTRY, at_ms(ms)) == Permit::Sent
+fn may_be_sent(suspects: &mut CrashSuspects, print: RequestFingerprint, ms: u64) -> bool {
+    suspects.decide_send(&[print], false, ONLY_ENTRY, at_ms(ms)) == SendDecision::Sent
 }
 
 /// A request that was under way at so many crashes, one each 100 ms.
@@ -67,13 +67,13 @@
     for (crashes, unharmed, is_sent, is_sent_on) in table {
         let mut suspects = after_crashes(crashes);
         for _ in 0..unharmed {
-            suspects.record_unharmed(&[HARMFUL], at_ms(1_000));
+            suspects.record_success(&[HARMFUL], at_ms(1_000));
         }
         let case = format!("{crashes} crashes, {unharmed} good answers");
-        let sent = suspects.permit(&[HARMFUL], false, ONLY_ENTRY, at_ms(2_000));
-        assert_eq!(sent == Permit::Sent, is_sent, "{case}");
-        let sent_on = suspects.permit(&[HARMFUL], true, ONLY_ENTRY, at_ms(2_000));
-        assert_eq!(sent_on == Permit::Sent, is_sent_on, "{case}");
+        let sent = suspects.decide_send(&[HARMFUL], false, ONLY_ENTRY, at_ms(2_000));
+        assert_eq!(sent == SendDecision::Sent, is_sent, "{case}");
+        let sent_on = suspects.decide_send(&[HARMFUL], true, ONLY_ENTRY, at_ms(2_000));
+        assert_eq!(sent_on == SendDecision::Sent, is_sent_on, "{case}");
     }
 }
 
@@ -88,7 +88,7 @@
         crashes: vec![(run(7), Microseconds::from_ms(30))],
         unharmed: 0,
     };
-    suspects.hear(&[heard], at_ms(30));
+    suspects.merge_peer_facts(&[heard], at_ms(30));
     assert!(may_be_sent(&mut suspects, HARMFUL, 40));
 }
 
@@ -96,8 +96,8 @@
 fn a_request_that_is_known_to_one_entry_is_held_back_by_those_that_hear_of_it() {
     let known = after_crashes(3);
     let mut other = CrashSuspects::new();
-    let facts = known.to_tell(8, 1, at_ms(300), &mut fastrand::Rng::with_seed(1));
-    other.hear(&facts, at_ms(302));
+    let facts = known.advertised_facts(8, 1, at_ms(300), &mut fastrand::Rng::with_seed(1));
+    other.merge_peer_facts(&facts, at_ms(302));
     assert!(!may_be_sent(&mut other, HARMFUL, 303));
     let held = other.held_back();
     assert_eq!(held.len(), 1);
@@ -113,8 +113,8 @@
     });
     let mut last = CrashSuspects::new();
     for entry in &entries {
-        let facts = entry.to_tell(8, 1, at_ms(10), &mut fastrand::Rng::with_seed(1));
-        last.hear(&facts, at_ms(11));
+        let facts = entry.advertised_facts(8, 1, at_ms(10), &mut fastrand::Rng::with_seed(1));
+        last.merge_peer_facts(&facts, at_ms(11));
     }
     assert!(!may_be_sent(&mut last, HARMFUL, 12));
 }
@@ -133,18 +133,18 @@
 /// The path is popular and only one caller's use of it does harm: the print of the path alone runs unharmed.
 #[test]
 fn a_popular_path_is_served_while_one_caller_of_it_is_held_back() {
-    let (of_caller, of_anyone, of_other_caller) = (HARMFUL, OTHER, RequestPrint::new(3));
+    let (of_caller, of_anyone, of_other_caller) = (HARMFUL, OTHER, RequestFingerprint::new(3));
     let mut suspects = CrashSuspects::new();
     for number in 0..4 {
         let ms = u64::from(number) * 100;
         suspects.record_crash(&[of_caller, of_anyone], run(number), at_ms(ms));
-        suspects.record_unharmed(&[of_other_caller, of_anyone], at_ms(ms + 50));
+        suspects.record_success(&[of_other_caller, of_anyone], at_ms(ms + 50));
     }
     let of = |caller| [caller, of_anyone];
-    let harmful = suspects.permit(&of(of_caller), false, ONLY_ENTRY, at_ms(500));
-    assert_ne!(harmful, Permit::Sent);
-    let other = suspects.permit(&of(of_other_caller), false, ONLY_ENTRY, at_ms(500));
-    assert_eq!(other, Permit::Sent);
+    let harmful = suspects.decide_send(&of(of_caller), false, ONLY_ENTRY, at_ms(500));
+    assert_ne!(harmful, SendDecision::Sent);
+    let other = suspects.decide_send(&of(of_other_caller), false, ONLY_ENTRY, at_ms(500));
+    assert_eq!(other, SendDecision::Sent);
 }
 
 /// A caller that comes from several addresses is one caller by none of its prints but the widest.
@@ -152,12 +152,12 @@
 fn a_request_that_comes_from_many_addresses_is_held_back_for_all() {
     let mut suspects = CrashSuspects::new();
     for number in 0..3 {
-        let of_caller = RequestPrint::new(100 + u64::from(number));
+        let of_caller = RequestFingerprint::new(100 + u64::from(number));
         suspects.record_crash(&[of_caller, HARMFUL], run(number), at_ms(0));
     }
-    let next = [RequestPrint::new(200), HARMFUL];
-    let permit = suspects.permit(&next, false, ONLY_ENTRY, at_ms(10));
-    assert_ne!(permit, Permit::Sent);
+    let next = [RequestFingerprint::new(200), HARMFUL];
+    let permit = suspects.decide_send(&next, false, ONLY_ENTRY, at_ms(10));
+    assert_ne!(permit, SendDecision::Sent);
 }
 
 #[test]
@@ -196,12 +196,12 @@
         let mut tries = 0;
         for ms in (began_ms + 10..began_ms + TURN_MS - 10).step_by(50) {
             for (place, suspects) in known.iter_mut().enumerate() {
-                let turn = Some(TryTurn {
+                let turn = Some(TrialTurn {
                     place: place as u64,
                     entries,
                 });
-                let permit = suspects.permit(&[HARMFUL], false, turn, at_ms(ms));
-                tries += u32::from(permit == Permit::Sent);
+                let permit = suspects.decide_send(&[HARMFUL], false, turn, at_ms(ms));
+                tries += u32::from(permit == SendDecision::Sent);
             }
         }
         assert_eq!(tries, 1, "turn {turn}");
@@ -215,14 +215,17 @@
     let mut suspects = after_crashes(3);
     for ms in [AFTER_FIRST_HOLD_MS, AFTER_FIRST_HOLD_MS + 5] {
         let now = at_ms(ms);
-        assert_eq!(suspects.held_for(&[HARMFUL], false, ONLY_ENTRY, now), None);
+        assert_eq!(
+            suspects.held_back_for(&[HARMFUL], false, ONLY_ENTRY, now),
+            None
+        );
     }
     let sent_at = at_ms(AFTER_FIRST_HOLD_MS + 5);
     assert_eq!(
-        suspects.permit(&[HARMFUL], false, ONLY_ENTRY, sent_at),
-        Permit::Sent
+        suspects.decide_send(&[HARMFUL], false, ONLY_ENTRY, sent_at),
+        SendDecision::Sent
     );
-    let again = suspects.held_for(&[HARMFUL], false, ONLY_ENTRY, sent_at);
+    let again = suspects.held_back_for(&[HARMFUL], false, ONLY_ENTRY, sent_at);
     assert_ne!(again, None, "one try a turn");
 }
 
@@ -232,9 +235,9 @@
     let mut other = after_crashes(3);
     assert!(may_be_sent(&mut tried, HARMFUL, AFTER_FIRST_HOLD_MS));
     let answered_at = at_ms(AFTER_FIRST_HOLD_MS + 100);
-    assert!(tried.record_unharmed(&[HARMFUL], answered_at));
-    let facts = tried.to_tell(8, 1, answered_at, &mut fastrand::Rng::with_seed(1));
-    other.hear(&facts, answered_at);
+    assert!(tried.record_success(&[HARMFUL], answered_at));
+    let facts = tried.advertised_facts(8, 1, answered_at, &mut fastrand::Rng::with_seed(1));
+    other.merge_peer_facts(&facts, answered_at);
     for suspects in [&mut tried, &mut other] {
         assert!(suspects.held_back().is_empty());
         assert!(may_be_sent(suspects, HARMFUL, AFTER_FIRST_HOLD_MS + 101));
@@ -245,8 +248,8 @@
 fn a_restarted_entry_learns_what_is_held_back_from_any_other() {
     let known = after_crashes(3);
     let mut restarted = CrashSuspects::new();
-    let facts = known.to_tell(8, 1, at_ms(20_000), &mut fastrand::Rng::with_seed(1));
-    restarted.hear(&facts, at_ms(20_001));
+    let facts = known.advertised_facts(8, 1, at_ms(20_000), &mut fastrand::Rng::with_seed(1));
+    restarted.merge_peer_facts(&facts, at_ms(20_001));
     assert!(!may_be_sent(&mut restarted, HARMFUL, 20_002));
 }
 
@@ -256,10 +259,10 @@
     let mut second = after_crashes(2);
     let mut random = fastrand::Rng::with_seed(1);
     for ms in (0..1_300_000).step_by(500) {
-        let facts = first.to_tell(8, 1, at_ms(ms), &mut random);
-        second.hear(&facts, at_ms(ms + 1));
-        let facts = second.to_tell(8, 1, at_ms(ms + 250), &mut random);
-        first.hear(&facts, at_ms(ms + 251));
+        let facts = first.advertised_facts(8, 1, at_ms(ms), &mut random);
+        second.merge_peer_facts(&facts, at_ms(ms + 1));
+        let facts = second.advertised_facts(8, 1, at_ms(ms + 250), &mut random);
+        first.merge_peer_facts(&facts, at_ms(ms + 251));
     }
     assert!(first.is_empty() && second.is_empty());
 }
@@ -269,20 +272,24 @@
 fn what_is_held_back_and_what_is_new_both_are_told() {
     let mut suspects = CrashSuspects::new();
     for number in 0..20 {
-        let print = RequestPrint::new(number);
+        let print = RequestFingerprint::new(number);
         for crash in 0..3 {
             let run = run(number as u32 * 3 + crash);
             suspects.record_crash(&[print], run, at_ms(0));
         }
     }
     for number in 100..120 {
-        suspects.record_crash(&[RequestPrint::new(number)], run(1_000), at_ms(10_000));
+        suspects.record_crash(
+            &[RequestFingerprint::new(number)],
+            run(1_000),
+            at_ms(10_000),
+        );
     }
     let mut random = fastrand::Rng::with_seed(1);
-    let told = suspects.to_tell(8, 1, at_ms(10_001), &mut random);
+    let told = suspects.advertised_facts(8, 1, at_ms(10_001), &mut random);
     let held = told.iter().filter(|facts| facts.crashes.len() == 3).count();
     assert_eq!((held, told.len()), (4, 8));
-    let told = suspects.to_tell(8, 2, at_ms(10_001), &mut random);
+    let told = suspects.advertised_facts(8, 2, at_ms(10_001), &mut random);
     assert!(told.iter().all(|facts| facts.crashes.len() == 3));
     assert_eq!(told.len(), 8);
 }
@@ -299,7 +306,7 @@
 fn memory_is_bounded_and_keeps_what_is_held_back() {
     let mut suspects = after_crashes(3);
     for number in 0..50_000 {
-        let print = RequestPrint::new(1_000 + number);
+        let print = RequestFingerprint::new(1_000 + number);
         suspects.record_crash(&[print], run(1_000 + number as u32), at_ms(400));
     }
     assert!(suspects.len() <= 1_024, "{}", suspects.len());
@@ -313,22 +320,22 @@
         let mut random = fastrand::Rng::with_seed(seed);
         let mut entries = vec![CrashSuspects::new(); 4];
         for number in 0..12 {
-            let prints: Vec<RequestPrint> = (0..3)
-                .map(|_| RequestPrint::new(random.u64(1..6)))
+            let prints: Vec<RequestFingerprint> = (0..3)
+                .map(|_| RequestFingerprint::new(random.u64(1..6)))
                 .collect();
             let entry = random.usize(..4);
             let ms = u64::from(number) * 100;
             entries[entry].record_crash(&prints, run(number), at_ms(ms));
             if random.u8(..4) == 0 {
-                entries[entry].record_unharmed(&prints[..1], at_ms(ms));
+                entries[entry].record_success(&prints[..1], at_ms(ms));
             }
         }
         for round in 0..60 {
             let (from, to) = (random.usize(..4), random.usize(..4));
             let now = at_ms(1_300 + round);
-            let facts = entries[from].to_tell(100, 1, now, &mut random);
-            entries[to].hear(&facts, now);
-            entries[to].hear(&facts, now);
+            let facts = entries[from].advertised_facts(100, 1, now, &mut random);
+            entries[to].merge_peer_facts(&facts, now);
+            entries[to].merge_peer_facts(&facts, now);
         }
         let held = |entry: &CrashSuspects| {
             let held = entry.held_back();
@@ -345,7 +352,7 @@
 /// An innocent request of a random run.
 #[derive(Debug, Clone, Copy)]
 struct Innocent {
-    print: RequestPrint,
+    print: RequestFingerprint,
     /// Times that it still comes back when its target crashes: once sent on by its entry, else by its caller.
     comes_back: u32,
 }
@@ -380,14 +387,14 @@
     let mut arrivals: Vec<(u64, Innocent)> = Vec::new();
     for ms in 0..20_000 {
         for (_, one, _) in under_way.iter().filter(|(_, _, ends)| *ends == ms) {
-            suspects.record_unharmed(&[one.print], at_ms(ms));
+            suspects.record_success(&[one.print], at_ms(ms));
         }
         under_way.retain(|(_, _, ends)| *ends > ms);
         if random.u32(..1_000) < 60 {
             refusals.innocent += 1;
             let print = match random.u8(..10) {
-                0 => RequestPrint::new(10 + random.u64(..10)),
-                _ => RequestPrint::new(random.u64(100..)),
+                0 => RequestFingerprint::new(10 + random.u64(..10)),
+                _ => RequestFingerprint::new(random.u64(100..)),
             };
             let comes_back = 5;
             arrivals.push((ms, Innocent { print, comes_back }));
@@ -409,7 +416,7 @@
         let Some(target) = random.choice(&up) else {
             continue;
         };
-        let harmful = RequestPrint::new(20 + ms * kinds / 20_000);
+        let harmful = RequestFingerprint::new(20 + ms * kinds / 20_000);
         if ms % 200 == 0 && may_be_sent(&mut suspects, harmful, ms) {
             refusals.crashes += 1;
             back_at_ms[*target] = ms + AWAY_MS;
--- a/crates/pinhaven-decide/tests/forecast_learning.rs
+++ b/crates/pinhaven-decide/tests/forecast_learning.rs
@@ -113,7 +113,7 @@
 #[test]
 fn how_long_a_caller_has_waited_is_told_by_its_deadline() {
     let route = RouteState::new(AIM_MS);
-    let waited = |deadline_ms| route.waited_before(Microseconds::from_ms(deadline_ms));
+    let waited = |deadline_ms| route.prior_wait(Microseconds::from_ms(deadline_ms));
     for _ in 0..30 {
         assert_eq!(waited(1_200), Microseconds::ZERO);
     }
@@ -137,10 +137,10 @@
     let mut random = fastrand::Rng::with_seed(3);
     for _ in 0..10 {
         for _ in 0..3 {
-            route.waited_before(Microseconds::from_ms(random.u64(300..3_700)));
+            route.prior_wait(Microseconds::from_ms(random.u64(300..3_700)));
         }
-        route.waited_before(Microseconds::from_ms(4_000));
+        route.prior_wait(Microseconds::from_ms(4_000));
     }
-    let waited = route.waited_before(Microseconds::from_ms(2_500));
+    let waited = route.prior_wait(Microseconds::from_ms(2_500));
     assert_eq!(waited, Microseconds::from_ms(1_500));
 }
--- a/crates/pinhaven-entry/src/callers/proxy.rs
+++ b/crates/pinhaven-entry/src/callers/proxy.rs
@@ -189,9 +189,9 @@
 
 fn waited_before(facts: &CallerFacts, routed: &Routed) -> Microseconds {
     match (facts.deadline_ms, &routed.route) {
-        (Some(deadline_ms), Some(route)) => route
-            .state
-            .waited_before(Microseconds::from_ms(deadline_ms)),
+        (Some(deadline_ms), Some(route)) => {
+            route.state.prior_wait(Microseconds::from_ms(deadline_ms))
+        }
         _ => Microseconds::ZERO,
     }
 }
--- a/crates/pinhaven-entry/src/crashes/news.rs
+++ b/crates/pinhaven-entry/src/crashes/news.rs
@@ -12,7 +12,7 @@
 use pinhaven_peer::Suspect;
 use pinhaven_runtime::sleep_ms;
 use pinhaven_types::Microseconds;
-use pinhaven_types::RequestPrint;
+use pinhaven_types::RequestFingerprint;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -106,7 +106,7 @@
         (CrashedRun::new(*run), ago)
     });
     SuspectFacts {
-        print: RequestPrint::new(suspect.print),
+        print: RequestFingerprint::new(suspect.print),
         crashes: crashes.collect(),
         unharmed: suspect.unharmed,
     }
--- a/crates/pinhaven-entry/src/crashes/prints.rs
+++ b/crates/pinhaven-entry/src/crashes/prints.rs
@@ -8,21 +8,21 @@
 use http::header::HOST;
 use pinhaven_runtime::CallerAddress;
 use pinhaven_types::Digest;
-use pinhaven_types::RequestPrint;
+use pinhaven_types::RequestFingerprint;
 
 /// The prints of a request. A path that many callers use may be harmful in the hands of one only, and a caller may
 /// come from several addresses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct RequestPrints {
     /// Of this request of this caller.
-    pub(crate) of_caller: RequestPrint,
+    pub(crate) of_caller: RequestFingerprint,
     /// Of this request, whoever sends it.
-    pub(crate) of_anyone: RequestPrint,
+    pub(crate) of_anyone: RequestFingerprint,
 }
 
 impl RequestPrints {
     /// Both.
-    pub(crate) fn both(self) -> [RequestPrint; 2] {
+    pub(crate) fn both(self) -> [RequestFingerprint; 2] {
         [self.of_caller, self.of_anyone]
     }
 
@@ -44,8 +44,8 @@
             field(&job.headers, COOKIE.as_str()),
         ];
         Self {
-            of_caller: RequestPrint::of_parts(&[&request[..], &caller[..]].concat()),
-            of_anyone: RequestPrint::of_parts(&request),
+            of_caller: RequestFingerprint::of_parts(&[&request[..], &caller[..]].concat()),
+            of_anyone: RequestFingerprint::of_parts(&request),
         }
     }
 }
--- a/crates/pinhaven-entry/src/crashes/watch.rs
+++ b/crates/pinhaven-entry/src/crashes/watch.rs
@@ -7,12 +7,12 @@
 use pinhaven_decide::Audience;
 use pinhaven_decide::CrashSuspects;
 use pinhaven_decide::HeldRequest;
-use pinhaven_decide::Permit;
+use pinhaven_decide::SendDecision;
 use pinhaven_decide::SuspectFacts;
 use pinhaven_decide::TargetState;
-use pinhaven_decide::TryTurn;
+use pinhaven_decide::TrialTurn;
 use pinhaven_types::Microseconds;
-use pinhaven_types::RequestPrint;
+use pinhaven_types::RequestFingerprint;
 use std::collections::BTreeMap;
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
@@ -26,7 +26,7 @@
     has_repeated: AtomicBool,
     suspects: Mutex<CrashSuspects>,
     /// Requests that were held back when it was last looked, for the record.
-    held: Mutex<BTreeMap<RequestPrint, HeldRequest>>,
+    held: Mutex<BTreeMap<RequestFingerprint, HeldRequest>>,
     /// Who should hear at once what this entry has seen.
     audience: Mutex<Option<Audience>>,
     /// Notified when there is somebody.
@@ -78,7 +78,7 @@
         self.change(|suspects| {
             // Rounds of news come when nothing else does.
             suspects.forget(now);
-            suspects.to_tell(most, crashes_least, now, &mut random)
+            suspects.advertised_facts(most, crashes_least, now, &mut random)
         })
     }
 
@@ -130,7 +130,7 @@
             return;
         }
         let (prints, now) = (job.prints().both(), self.now());
-        let record = |suspects: &mut CrashSuspects| suspects.record_unharmed(&prints, now);
+        let record = |suspects: &mut CrashSuspects| suspects.record_success(&prints, now);
         if self.crashes.change(record) {
             self.crashes.tell_at_once(Audience::All);
             self.record_held_back();
@@ -143,7 +143,8 @@
             return;
         }
         let now = self.now();
-        self.crashes.change(|suspects| suspects.hear(facts, now));
+        self.crashes
+            .change(|suspects| suspects.merge_peer_facts(facts, now));
         self.record_held_back();
     }
 
@@ -154,7 +155,7 @@
         }
         let (prints, turn) = (job.prints().both(), self.try_turn());
         let suspects = self.crashes.suspects.lock();
-        let held_for = suspects.held_for(&prints, false, turn, self.now());
+        let held_for = suspects.held_back_for(&prints, false, turn, self.now());
         held_for.map(in_ms)
     }
 
@@ -166,20 +167,20 @@
         }
         let (prints, turn) = (job.prints().both(), self.try_turn());
         let mut suspects = self.crashes.suspects.lock();
-        match suspects.permit(&prints, is_sent_on, turn, self.now()) {
-            Permit::Sent => Ok(()),
-            Permit::HeldBack { for_us } => Err(in_ms(for_us)),
+        match suspects.decide_send(&prints, is_sent_on, turn, self.now()) {
+            SendDecision::Sent => Ok(()),
+            SendDecision::HeldBack { for_us } => Err(in_ms(for_us)),
         }
     }
 
     /// This entry's place among all that live, if any request may wait to be tried again.
-    fn try_turn(&self) -> Option<TryTurn> {
+    fn try_turn(&self) -> Option<TrialTurn> {
         if self.crashes.held.lock().is_empty() {
             return None;
         }
         let now = self.now();
         let members = self.members.lock();
-        Some(TryTurn {
+        Some(TrialTurn {
             place: members.place_among_all(now) as u64,
             entries: members.live_peers(now).len() as u64 + 1,
         })
--- a/crates/pinhaven-types/src/lib.rs
+++ b/crates/pinhaven-types/src/lib.rs
@@ -33,7 +33,7 @@
 pub use quantity::Percent;
 pub use quantity::RequestRate;
 pub use quantity::TargetAddress;
-pub use request_fingerprint::RequestPrint;
+pub use request_fingerprint::RequestFingerprint;
 pub use target_incarnation::TargetIncarnation;
 
 /// Advice that goes with an error.
--- a/crates/pinhaven-types/src/request_fingerprint.rs
+++ b/crates/pinhaven-types/src/request_fingerprint.rs
@@ -10,9 +10,9 @@
 
 /// Hash of what stays the same when a request comes again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RequestPrint(u64);
+pub struct RequestFingerprint(u64);
 
-impl RequestPrint {
+impl RequestFingerprint {
     /// A print with these bits, as it came in a message.
     pub const fn new(bits: u64) -> Self {
         Self(bits)
@@ -29,13 +29,13 @@
     }
 }
 
-impl fmt::Display for RequestPrint {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-impl FromStr for RequestPrint {
+impl FromStr for RequestFingerprint {
     type Err = ParseQuantityError;
 
     fn from_str(text: &str) -> Result<Self, ParseQuantityError> {
