--- a/crates/pinhaven-decide/src/crashes/evidence.rs
+++ b/crates/pinhaven-decide/src/crashes/evidence.rs
@@ -1,58 +1,60 @@
-//! What is known of one request that was under way when targets crashed.
+//! Evidence on one request that was in flight when targets crashed.
 
 use pinhaven_types::Digest;
 use pinhaven_types::Microseconds;
 use pinhaven_types::RequestFingerprint;
 
-/// Short hash of one run of a target that crashed. All entries that had requests there name it alike.
+/// Short hash of one run of a target that ended in a crash. All entries that had requests in flight there compute the
+/// same hash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CrashedRun(u32);
 
 impl CrashedRun {
-    /// A run with this hash, as it came in a message.
+    /// Creates a run from a hash that was received in a message.
     pub const fn new(hash: u32) -> Self {
         Self(hash)
     }
 
-    /// A run of the target with this name. What tells it from others is its start, a Unix time in milliseconds by its own
-    /// clock, or the number of its crash where it tells none.
+    /// Creates a run of the target with this name. `start_or_number` distinguishes the runs of a target: its start
+    /// time in Unix milliseconds by its own clock, or the number of the crash if the target reports no start time.
     pub fn of(target: &str, start_or_number: u64) -> Self {
         let parts = [target.as_bytes(), &start_or_number.to_le_bytes()[..]];
         Self(Digest::of_parts(&parts).short() as u32)
     }
 
-    /// Its hash, for messages.
+    /// The hash, for messages.
     pub const fn hash(self) -> u32 {
         self.0
     }
 }
 
-/// What an entry tells another one of a request.
+/// Evidence on one request that entries exchange.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspectFacts {
-    /// The request.
-    pub print: RequestFingerprint,
-    /// The runs that crashed with it under way, and how long ago.
+    /// Fingerprint of the request.
+    pub fingerprint: RequestFingerprint,
+    /// Runs that crashed with the request in flight, and the age of each crash.
     pub crashes: Vec<(CrashedRun, Microseconds)>,
-    /// Times that it was answered well meanwhile, at the least.
-    pub unharmed: u32,
+    /// Lower bound for the successes of the request since the first crash.
+    pub successes: u32,
 }
 
-/// A target that crashed with the request under way.
+/// A target run that crashed with the request in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Crash {
     pub(super) run: CrashedRun,
-    /// When that was known here or, as far as its age tells, elsewhere.
+    /// When this entry observed the crash, or the time of the crash according to the age that another entry sent.
     pub(super) at: Microseconds,
 }
 
-/// What is known of a request. It only grows, whoever tells it in which order, so that entries agree.
+/// Evidence on one request. Merging is monotonic and independent of the order of messages, so all entries converge to
+/// the same evidence.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Evidence {
-    /// The earliest first.
+    /// The crashes, earliest first.
     crashes: Vec<Crash>,
-    unharmed: u32,
-    /// When anything was last learned here.
+    successes: u32,
+    /// When this entry last recorded new evidence.
     pub(super) changed_at: Microseconds,
 }
 
@@ -61,8 +63,8 @@
         &self.crashes
     }
 
-    pub(super) fn unharmed(&self) -> u32 {
-        self.unharmed
+    pub(super) fn successes(&self) -> u32 {
+        self.successes
     }
 
     pub(super) fn has(&self, run: CrashedRun) -> bool {
@@ -76,27 +78,27 @@
             .map_or(Microseconds::ZERO, |crash| crash.at)
     }
 
-    /// Takes a crash in. Returns whether it was not known.
+    /// Records a crash. Returns whether the crash is new.
     pub(super) fn add_crash(&mut self, crash: Crash, now: Microseconds) -> bool {
         if self.has(crash.run) {
             return false;
         }
-        let place = self.crashes.partition_point(|known| known.at <= crash.at);
-        self.crashes.insert(place, crash);
+        let index = self.crashes.partition_point(|known| known.at <= crash.at);
+        self.crashes.insert(index, crash);
         self.changed_at = now;
         true
     }
 
-    /// Takes in that it was answered well once more.
-    pub(super) fn add_unharmed(&mut self, now: Microseconds) {
-        self.raise_unharmed(self.unharmed.saturating_add(1), now);
+    /// Records one more success of the request.
+    pub(super) fn add_success(&mut self, now: Microseconds) {
+        self.raise_successes(self.successes.saturating_add(1), now);
     }
 
-    /// Takes in that it was answered well at least so often. Counts of several entries are not added up, as what one
-    /// tells may hold what it was told.
-    pub(super) fn raise_unharmed(&mut self, unharmed: u32, now: Microseconds) {
-        if unharmed > self.unharmed {
-            self.unharmed = unharmed;
+    /// Raises the number of successes to at least `successes`. The counts of several entries are not added up, because
+    /// the count of a peer may include successes that the peer received from this entry.
+    pub(super) fn raise_successes(&mut self, successes: u32, now: Microseconds) {
+        if successes > self.successes {
+            self.successes = successes;
             self.changed_at = now;
         }
     }
--- a/crates/pinhaven-decide/src/crashes/verdict.rs
+++ b/crates/pinhaven-decide/src/crashes/verdict.rs
@@ -1,4 +1,4 @@
-//! Whether a request is what crashes targets, by the evidence on all.
+//! Decides from the evidence on all requests whether a request crashes targets.
 
 use super::evidence::Crash;
 use super::evidence::Evidence;
@@ -6,98 +6,99 @@
 use pinhaven_types::RequestFingerprint;
 use std::collections::HashMap;
 
-/// Targets that crash with a request under way until it is known for the cause. One in twenty requests of a service
-/// meets a crash while a harmful one comes twice a second, so one in some eight thousand would meet three by
-/// chance and never run unharmed between them (computed).
-const CRASHES_TO_KNOW: u32 = 3;
-/// Crashes from which a request is not sent on to another target by the entry that has it.
-const CRASHES_TO_STOP: u32 = 2;
-/// How long a request is held back first. Each try that proves harmful costs all that its target has under way, six
-/// requests where targets have six slots; one that was at three crashes by chance is refused for as long, and hardly any
-/// such request comes again.
-const HOLD_FIRST: Microseconds = Microseconds::from_ms(120_000);
-/// How many times longer it is held back each time that it proves harmful again.
+/// Number of crashed targets from which a request counts as harmful. If one in twenty requests of a service meets a
+/// crash, as with a harmful request twice a second, about one in eight thousand meets three by chance without
+/// succeeding between them.
+const CRASHES_FOR_HARMFUL: u32 = 3;
+/// Number of crashed targets from which an entry doesn't send a request on to another target.
+const CRASHES_FOR_SUSPECTED: u32 = 2;
+/// Duration of the first hold. Each trial of a harmful request costs all requests in flight at its target, six for a
+/// target of six slots. An innocent request that met three crashes by chance is refused for the same time, but hardly
+/// any such request is repeated.
+const HOLD_INITIAL: Microseconds = Microseconds::from_ms(120_000);
+/// Factor by which each further crash in a trial extends the hold.
 const HOLD_FACTOR: u64 = 4;
-/// The longest, eight hours.
-const HOLD_MOST: Microseconds = Microseconds::from_ms(8 * 3_600_000);
+/// Maximum duration of a hold: eight hours.
+const HOLD_MAX: Microseconds = Microseconds::from_ms(8 * 3_600_000);
 
-/// What is thought of a request.
+/// Verdict on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Standing {
-    /// As of any other.
+pub(super) enum Verdict {
+    /// The request is not suspected.
     Clear,
-    /// It may be harmful: it goes to one target for each try of its caller.
-    Watched,
-    /// It is held back, or may be tried by one entry once that is over.
-    Known {
-        /// When it was known for certain, or tried last and proved harmful again.
+    /// The request may be harmful. It is sent to one target per attempt of its caller.
+    Suspected,
+    /// The request is harmful. It is held back, or one entry may try it once the hold has expired.
+    Harmful {
+        /// When the last required crash or the last crash in a trial was recorded.
         since: Microseconds,
-        /// Until when nobody tries it.
+        /// End of the hold.
         until: Microseconds,
     },
 }
 
-/// What is thought of a request, given the evidence on all.
-pub(super) fn standing(
-    print: RequestFingerprint,
+/// Returns the verdict on a request, given the evidence on all requests.
+pub(super) fn verdict(
+    fingerprint: RequestFingerprint,
     evidence: &Evidence,
     all: &HashMap<RequestFingerprint, Evidence>,
-) -> Standing {
-    let to_stop = wanted(CRASHES_TO_STOP, evidence);
-    if evidence.crashes().len() < to_stop {
-        // Most requests that met a crash end here, before the others are looked at.
-        return Standing::Clear;
+) -> Verdict {
+    let suspected_min = required_crashes(CRASHES_FOR_SUSPECTED, evidence);
+    if evidence.crashes().len() < suspected_min {
+        // Returns early for most requests that met a crash, without examining the other requests.
+        return Verdict::Clear;
     }
-    let crashes = unexplained(print, evidence, all);
-    if crashes.len() < to_stop {
-        return Standing::Clear;
+    let crashes = unexplained(fingerprint, evidence, all);
+    if crashes.len() < suspected_min {
+        return Verdict::Clear;
     }
-    let to_know = wanted(CRASHES_TO_KNOW, evidence);
-    let Some(known) = crashes.get(to_know - 1) else {
-        return Standing::Watched;
+    let harmful_min = required_crashes(CRASHES_FOR_HARMFUL, evidence);
+    let Some(last_required) = crashes.get(harmful_min - 1) else {
+        return Verdict::Suspected;
     };
-    let (since, until) = hold(known.at, &crashes[to_know..]);
-    Standing::Known { since, until }
+    let (since, until) = hold(last_required.at, &crashes[harmful_min..]);
+    Verdict::Harmful { since, until }
 }
 
-/// Crashes that are wanted as evidence. Each time that it ran unharmed speaks against as much as so many crashes
-/// speak for it.
-fn wanted(crashes: u32, evidence: &Evidence) -> usize {
-    crashes.saturating_mul(evidence.unharmed().saturating_add(1)) as usize
+/// Number of crashes required as evidence. Each success raises the requirement by `crashes`, because it weighs as much
+/// against the suspicion as that many crashes weigh for it.
+fn required_crashes(crashes: u32, evidence: &Evidence) -> usize {
+    crashes.saturating_mul(evidence.successes().saturating_add(1)) as usize
 }
 
-/// The crashes that no other request explains better: one that was there at more crashes than this one, and that is
-/// known for the cause by itself.
+/// Returns the crashes that no other request explains better. Another request explains a crash better if it was in
+/// flight at that crash, was in flight at more crashes than this request and is harmful on its own evidence.
 fn unexplained(
-    print: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     evidence: &Evidence,
     all: &HashMap<RequestFingerprint, Evidence>,
 ) -> Vec<Crash> {
     let count = evidence.crashes().len();
     let explains = |other: &Evidence| {
         let others = other.crashes().len();
-        others > count && others >= wanted(CRASHES_TO_KNOW, other)
+        others > count && others >= required_crashes(CRASHES_FOR_HARMFUL, other)
     };
-    let better: Vec<&Evidence> = all
+    let better_explanations: Vec<&Evidence> = all
         .iter()
-        .filter(|(other, evidence)| **other != print && explains(evidence))
+        .filter(|(other, evidence)| **other != fingerprint && explains(evidence))
         .map(|(_, evidence)| evidence)
         .collect();
-    let is_unexplained = |crash: &&Crash| !better.iter().any(|other| other.has(crash.run));
+    let is_unexplained =
+        |crash: &&Crash| !better_explanations.iter().any(|other| other.has(crash.run));
     let crashes = evidence.crashes().iter();
     crashes.filter(is_unexplained).copied().collect()
 }
 
-/// Since when and until when a request is held back that was known at `known_at` and crashed targets later, too. What
-/// crashes while it is held back was under way before.
-fn hold(known_at: Microseconds, later: &[Crash]) -> (Microseconds, Microseconds) {
-    let mut length = HOLD_FIRST;
-    let (mut since, mut until) = (known_at, known_at.plus(length));
+/// Returns when the hold of a request began and when it ends, given that the request became harmful at `harmful_at`
+/// and crashed targets `later`. A crash during the hold doesn't extend it, because that request was sent before.
+fn hold(harmful_at: Microseconds, later: &[Crash]) -> (Microseconds, Microseconds) {
+    let mut length = HOLD_INITIAL;
+    let (mut since, mut until) = (harmful_at, harmful_at.plus(length));
     for crash in later {
         if crash.at <= until {
             continue;
         }
-        length = Microseconds::new(length.count() * HOLD_FACTOR).min(HOLD_MOST);
+        length = Microseconds::new(length.count() * HOLD_FACTOR).min(HOLD_MAX);
         (since, until) = (crash.at, crash.at.plus(length));
     }
     (since, until)
--- a/crates/pinhaven-decide/tests/crashes.rs
+++ b/crates/pinhaven-decide/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Which request is held back when targets crash.
+//! Tests which requests are held back when targets crash.
 
 mod common;
 
@@ -15,11 +15,11 @@
 
 const HARMFUL: RequestFingerprint = RequestFingerprint::new(1);
 const OTHER: RequestFingerprint = RequestFingerprint::new(2);
-/// Past the first hold, which lasts 120 s.
+/// A time after the first hold, which lasts 120 s.
 const AFTER_FIRST_HOLD_MS: u64 = 130_000;
-/// How long it is one entry's turn.
+/// Duration of one entry's trial turn.
 const TURN_MS: u64 = 2_000;
-/// Seeds of the random runs.
+/// Number of simulated runs.
 const SEEDS: u64 = 100;
 
 fn at_ms(ms: u64) -> Microseconds {
@@ -30,17 +30,17 @@
     CrashedRun::new(number)
 }
 
-/// Whose turn it is always.
+/// Position of an entry without peers: every turn is its own.
 const ONLY_ENTRY: Option<TrialTurn> = Some(TrialTurn {
-    place: 0,
+    rank: 0,
     entries: 1,
 });
 
-fn may_be_sent(suspects: &mut CrashSuspects, print: RequestFingerprint, ms: u64) -> bool {
-    suspects.decide_send(&[print], false, ONLY_ENTRY, at_ms(ms)) == SendDecision::Sent
+fn may_be_sent(suspects: &mut CrashSuspects, fingerprint: RequestFingerprint, ms: u64) -> bool {
+    suspects.decide_send(&[fingerprint], false, ONLY_ENTRY, at_ms(ms)) == SendDecision::Allowed
 }
 
-/// A request that was under way at so many crashes, one each 100 ms.
+/// Evidence on a request that was in flight at `count` crashes, one every 100 ms.
 fn after_crashes(count: u32) -> CrashSuspects {
     let mut suspects = CrashSuspects::new();
     for number in 0..count {
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_request_is_sent_as_long_as_the_table_says() {
-    // (crashes, good answers, may be sent, may be sent on by the entry that has it)
+    // (crashes, successes, may be sent, may be sent to a further target by the same entry)
     let table = [
         (0, 0, true, true),
         (1, 0, true, true),
@@ -64,16 +64,20 @@
         (6, 1, false, false),
         (9, 3, true, false),
     ];
-    for (crashes, unharmed, is_sent, is_sent_on) in table {
+    for (crashes, successes, is_sent, is_sent_further) in table {
         let mut suspects = after_crashes(crashes);
-        for _ in 0..unharmed {
+        for _ in 0..successes {
             suspects.record_success(&[HARMFUL], at_ms(1_000));
         }
-        let case = format!("{crashes} crashes, {unharmed} good answers");
+        let case = format!("{crashes} crashes, {successes} successes");
         let sent = suspects.decide_send(&[HARMFUL], false, ONLY_ENTRY, at_ms(2_000));
-        assert_eq!(sent == SendDecision::Sent, is_sent, "{case}");
-        let sent_on = suspects.decide_send(&[HARMFUL], true, ONLY_ENTRY, at_ms(2_000));
-        assert_eq!(sent_on == SendDecision::Sent, is_sent_on, "{case}");
+        assert_eq!(sent == SendDecision::Allowed, is_sent, "{case}");
+        let sent_further = suspects.decide_send(&[HARMFUL], true, ONLY_ENTRY, at_ms(2_000));
+        assert_eq!(
+            sent_further == SendDecision::Allowed,
+            is_sent_further,
+            "{case}"
+        );
     }
 }
 
@@ -83,17 +87,17 @@
     for ms in [0, 10, 20] {
         suspects.record_crash(&[HARMFUL], run(7), at_ms(ms));
     }
-    let heard = SuspectFacts {
-        print: HARMFUL,
+    let received = SuspectFacts {
+        fingerprint: HARMFUL,
         crashes: vec![(run(7), Microseconds::from_ms(30))],
-        unharmed: 0,
+        successes: 0,
     };
-    suspects.merge_peer_facts(&[heard], at_ms(30));
+    suspects.merge_peer_facts(&[received], at_ms(30));
     assert!(may_be_sent(&mut suspects, HARMFUL, 40));
 }
 
 #[test]
-fn a_request_that_is_known_to_one_entry_is_held_back_by_those_that_hear_of_it() {
+fn a_request_that_one_entry_finds_harmful_is_held_back_by_its_peers() {
     let known = after_crashes(3);
     let mut other = CrashSuspects::new();
     let facts = known.advertised_facts(8, 1, at_ms(300), &mut fastrand::Rng::with_seed(1));
@@ -119,7 +123,7 @@
     assert!(!may_be_sent(&mut last, HARMFUL, 12));
 }
 
-/// A request that shared three targets with the one that crashes them all is not held back for that.
+/// A request that shared three crashed targets with the request that crashes all of them must not be held back.
 #[test]
 fn a_request_whose_crashes_another_one_explains_is_sent() {
     let mut suspects = after_crashes(5);
@@ -130,7 +134,7 @@
     assert!(!may_be_sent(&mut suspects, HARMFUL, 700));
 }
 
-/// The path is popular and only one caller's use of it does harm: the print of the path alone runs unharmed.
+/// Many callers use the path and only one caller's requests do harm: the fingerprint of the path alone has successes.
 #[test]
 fn a_popular_path_is_served_while_one_caller_of_it_is_held_back() {
     let (of_caller, of_anyone, of_other_caller) = (HARMFUL, OTHER, RequestFingerprint::new(3));
@@ -142,12 +146,13 @@
     }
     let of = |caller| [caller, of_anyone];
     let harmful = suspects.decide_send(&of(of_caller), false, ONLY_ENTRY, at_ms(500));
-    assert_ne!(harmful, SendDecision::Sent);
+    assert_ne!(harmful, SendDecision::Allowed);
     let other = suspects.decide_send(&of(of_other_caller), false, ONLY_ENTRY, at_ms(500));
-    assert_eq!(other, SendDecision::Sent);
+    assert_eq!(other, SendDecision::Allowed);
 }
 
-/// A caller that comes from several addresses is one caller by none of its prints but the widest.
+/// A caller that uses several addresses has a different caller fingerprint each time. Only the fingerprint without the
+/// caller is common to all its requests.
 #[test]
 fn a_request_that_comes_from_many_addresses_is_held_back_for_all() {
     let mut suspects = CrashSuspects::new();
@@ -156,14 +161,14 @@
         suspects.record_crash(&[of_caller, HARMFUL], run(number), at_ms(0));
     }
     let next = [RequestFingerprint::new(200), HARMFUL];
-    let permit = suspects.decide_send(&next, false, ONLY_ENTRY, at_ms(10));
-    assert_ne!(permit, SendDecision::Sent);
+    let decision = suspects.decide_send(&next, false, ONLY_ENTRY, at_ms(10));
+    assert_ne!(decision, SendDecision::Allowed);
 }
 
 #[test]
 fn a_hold_ends_and_gets_longer_each_time_that_it_proves_right() {
     let mut suspects = after_crashes(3);
-    // (tried at, in seconds; seconds from then on for which it is held back)
+    // (time of the trial in seconds, duration of the following hold in seconds)
     for (number, (tried_s, held_s)) in [(121, 480), (610, 1_920), (2_600, 7_680)]
         .into_iter()
         .enumerate()
@@ -177,7 +182,7 @@
     }
 }
 
-/// What was under way at other targets when the request was held back says nothing new.
+/// Requests that were already in flight at other targets when the hold began are no further evidence.
 #[test]
 fn crashes_of_what_was_sent_before_the_hold_make_it_no_longer() {
     let mut suspects = after_crashes(40);
@@ -195,21 +200,21 @@
         let began_ms = 120_200 + turn * TURN_MS;
         let mut tries = 0;
         for ms in (began_ms + 10..began_ms + TURN_MS - 10).step_by(50) {
-            for (place, suspects) in known.iter_mut().enumerate() {
+            for (rank, suspects) in known.iter_mut().enumerate() {
                 let turn = Some(TrialTurn {
-                    place: place as u64,
+                    rank: rank as u64,
                     entries,
                 });
-                let permit = suspects.decide_send(&[HARMFUL], false, turn, at_ms(ms));
-                tries += u32::from(permit == SendDecision::Sent);
+                let decision = suspects.decide_send(&[HARMFUL], false, turn, at_ms(ms));
+                tries += u32::from(decision == SendDecision::Allowed);
             }
         }
         assert_eq!(tries, 1, "turn {turn}");
     }
 }
 
-/// An entry looks when a request arrives and again when it sends it. The first look took the turn, and nothing was ever
-/// tried.
+/// An entry checks a request on arrival and again when it sends the request. If the first check used up the trial turn,
+/// no request would ever be tried.
 #[test]
 fn a_request_that_may_be_tried_on_arrival_is_sent() {
     let mut suspects = after_crashes(3);
@@ -223,22 +228,22 @@
     let sent_at = at_ms(AFTER_FIRST_HOLD_MS + 5);
     assert_eq!(
         suspects.decide_send(&[HARMFUL], false, ONLY_ENTRY, sent_at),
-        SendDecision::Sent
+        SendDecision::Allowed
     );
     let again = suspects.held_back_for(&[HARMFUL], false, ONLY_ENTRY, sent_at);
-    assert_ne!(again, None, "one try a turn");
+    assert_ne!(again, None, "one trial per turn");
 }
 
 #[test]
-fn a_request_that_runs_unharmed_is_let_go_by_all() {
-    let mut tried = after_crashes(3);
+fn a_request_that_succeeds_is_released_by_all_entries() {
+    let mut trial_entry = after_crashes(3);
     let mut other = after_crashes(3);
-    assert!(may_be_sent(&mut tried, HARMFUL, AFTER_FIRST_HOLD_MS));
+    assert!(may_be_sent(&mut trial_entry, HARMFUL, AFTER_FIRST_HOLD_MS));
     let answered_at = at_ms(AFTER_FIRST_HOLD_MS + 100);
-    assert!(tried.record_success(&[HARMFUL], answered_at));
-    let facts = tried.advertised_facts(8, 1, answered_at, &mut fastrand::Rng::with_seed(1));
+    assert!(trial_entry.record_success(&[HARMFUL], answered_at));
+    let facts = trial_entry.advertised_facts(8, 1, answered_at, &mut fastrand::Rng::with_seed(1));
     other.merge_peer_facts(&facts, answered_at);
-    for suspects in [&mut tried, &mut other] {
+    for suspects in [&mut trial_entry, &mut other] {
         assert!(suspects.held_back().is_empty());
         assert!(may_be_sent(suspects, HARMFUL, AFTER_FIRST_HOLD_MS + 101));
     }
@@ -254,7 +259,7 @@
 }
 
 #[test]
-fn crashes_are_forgotten_in_the_end_and_not_told_for_ever() {
+fn crashes_are_forgotten_and_not_advertised_indefinitely() {
     let mut first = after_crashes(2);
     let mut second = after_crashes(2);
     let mut random = fastrand::Rng::with_seed(1);
@@ -267,15 +272,15 @@
     assert!(first.is_empty() && second.is_empty());
 }
 
-/// Many requests that met a crash each take no place from those that are held back, nor the reverse.
+/// Many requests that met one crash must not displace requests that are held back, or the reverse.
 #[test]
-fn what_is_held_back_and_what_is_new_both_are_told() {
+fn held_back_and_recent_requests_are_both_advertised() {
     let mut suspects = CrashSuspects::new();
     for number in 0..20 {
-        let print = RequestFingerprint::new(number);
+        let fingerprint = RequestFingerprint::new(number);
         for crash in 0..3 {
             let run = run(number as u32 * 3 + crash);
-            suspects.record_crash(&[print], run, at_ms(0));
+            suspects.record_crash(&[fingerprint], run, at_ms(0));
         }
     }
     for number in 100..120 {
@@ -286,48 +291,56 @@
         );
     }
     let mut random = fastrand::Rng::with_seed(1);
-    let told = suspects.advertised_facts(8, 1, at_ms(10_001), &mut random);
-    let held = told.iter().filter(|facts| facts.crashes.len() == 3).count();
-    assert_eq!((held, told.len()), (4, 8));
-    let told = suspects.advertised_facts(8, 2, at_ms(10_001), &mut random);
-    assert!(told.iter().all(|facts| facts.crashes.len() == 3));
-    assert_eq!(told.len(), 8);
+    let advertised = suspects.advertised_facts(8, 1, at_ms(10_001), &mut random);
+    let held = advertised
+        .iter()
+        .filter(|facts| facts.crashes.len() == 3)
+        .count();
+    assert_eq!((held, advertised.len()), (4, 8));
+    let advertised = suspects.advertised_facts(8, 2, at_ms(10_001), &mut random);
+    assert!(advertised.iter().all(|facts| facts.crashes.len() == 3));
+    assert_eq!(advertised.len(), 8);
 }
 
-/// Nearly all requests that meet a crash are innocent, so only those that met two are told to all entries at once.
+/// Nearly all requests that meet a crash are innocent, so only those that met two crashes are advertised to all entries
+/// at once.
 #[test]
-fn a_first_crash_is_told_to_few_at_once_and_a_second_to_all() {
+fn a_first_crash_is_advertised_to_few_entries_and_a_second_to_all() {
     let mut suspects = CrashSuspects::new();
-    let told = [7, 7, 8].map(|number| suspects.record_crash(&[HARMFUL], run(number), at_ms(0)));
-    assert_eq!(told, [Audience::Serving, Audience::Nobody, Audience::All]);
+    let advertised =
+        [7, 7, 8].map(|number| suspects.record_crash(&[HARMFUL], run(number), at_ms(0)));
+    assert_eq!(
+        advertised,
+        [Audience::Serving, Audience::Nobody, Audience::All]
+    );
 }
 
 #[test]
 fn memory_is_bounded_and_keeps_what_is_held_back() {
     let mut suspects = after_crashes(3);
     for number in 0..50_000 {
-        let print = RequestFingerprint::new(1_000 + number);
-        suspects.record_crash(&[print], run(1_000 + number as u32), at_ms(400));
+        let fingerprint = RequestFingerprint::new(1_000 + number);
+        suspects.record_crash(&[fingerprint], run(1_000 + number as u32), at_ms(400));
     }
     assert!(suspects.len() <= 1_024, "{}", suspects.len());
     assert!(!may_be_sent(&mut suspects, HARMFUL, 500));
 }
 
-/// Whatever is told in whichever order and how often, entries think the same of all requests.
+/// Entries reach the same verdicts regardless of the order and number of the messages they receive.
 #[test]
-fn entries_agree_whatever_way_the_news_took() {
+fn entries_agree_for_any_order_of_messages() {
     fn property(seed: u64) -> bool {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut entries = vec![CrashSuspects::new(); 4];
         for number in 0..12 {
-            let prints: Vec<RequestFingerprint> = (0..3)
+            let fingerprints: Vec<RequestFingerprint> = (0..3)
                 .map(|_| RequestFingerprint::new(random.u64(1..6)))
                 .collect();
             let entry = random.usize(..4);
             let ms = u64::from(number) * 100;
-            entries[entry].record_crash(&prints, run(number), at_ms(ms));
+            entries[entry].record_crash(&fingerprints, run(number), at_ms(ms));
             if random.u8(..4) == 0 {
-                entries[entry].record_success(&prints[..1], at_ms(ms));
+                entries[entry].record_success(&fingerprints[..1], at_ms(ms));
             }
         }
         for round in 0..60 {
@@ -339,7 +352,9 @@
         }
         let held = |entry: &CrashSuspects| {
             let held = entry.held_back();
-            held.iter().map(|one| one.print).collect::<Vec<_>>()
+            held.iter()
+                .map(|request| request.fingerprint)
+                .collect::<Vec<_>>()
         };
         entries.iter().all(|entry| held(entry) == held(&entries[0]))
     }
@@ -349,89 +364,101 @@
         .quickcheck(property as fn(u64) -> bool);
 }
 
-/// An innocent request of a random run.
+/// An innocent request of a simulated run.
 #[derive(Debug, Clone, Copy)]
 struct Innocent {
-    print: RequestFingerprint,
-    /// Times that it still comes back when its target crashes: once sent on by its entry, else by its caller.
-    comes_back: u32,
+    fingerprint: RequestFingerprint,
+    /// Remaining retries after a crash of its target: the first by its entry, the others by its caller.
+    retries_left: u32,
 }
 
-/// What came of a random run.
+/// Counts of a simulated run.
 #[derive(Debug, Default)]
 struct Refusals {
     innocent: u32,
     innocent_refused: u32,
-    /// Those that a crash met at least once, and how many of them were refused.
+    /// Innocent requests that met at least one crash, and how many of them were refused.
     met_crash: u32,
     met_crash_refused: u32,
     crashes: u32,
 }
 
-/// Targets of a random run.
+/// Number of targets of a simulated run.
 const TARGETS: usize = 12;
-/// How long an innocent request works, and how long a target that crashed is away, in milliseconds.
+/// Duration of an innocent request and downtime of a crashed target, in milliseconds.
 const WORK_MS: u64 = 300;
-const AWAY_MS: u64 = 2_000;
-/// Time between two tries of a request whose target crashed, in milliseconds.
-const AGAIN_MS: u64 = 20;
+const DOWN_MS: u64 = 2_000;
+/// Delay before a request is retried after a crash of its target, in milliseconds.
+const RETRY_DELAY_MS: u64 = 20;
 
-/// Plays 20 s: 60 innocent requests a second, a tenth of them on ten popular prints, and a harmful one each 200 ms, of
-/// which there are `kinds`, each for as long.
-fn play(seed: u64, kinds: u64) -> Refusals {
+/// Simulates 20 s: 60 innocent requests per second, a tenth of them with one of ten popular fingerprints, and a harmful
+/// request every 200 ms. The harmful requests are of `kinds` different fingerprints, each used for an equal time.
+fn simulate(seed: u64, kinds: u64) -> Refusals {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut suspects = CrashSuspects::new();
     let mut refusals = Refusals::default();
-    let mut back_at_ms = [0_u64; TARGETS];
-    let mut under_way: Vec<(usize, Innocent, u64)> = Vec::new();
+    let mut restarted_at_ms = [0_u64; TARGETS];
+    let mut in_flight: Vec<(usize, Innocent, u64)> = Vec::new();
     let mut arrivals: Vec<(u64, Innocent)> = Vec::new();
     for ms in 0..20_000 {
-        for (_, one, _) in under_way.iter().filter(|(_, _, ends)| *ends == ms) {
-            suspects.record_success(&[one.print], at_ms(ms));
+        for (_, request, _) in in_flight.iter().filter(|(_, _, ends)| *ends == ms) {
+            suspects.record_success(&[request.fingerprint], at_ms(ms));
         }
-        under_way.retain(|(_, _, ends)| *ends > ms);
+        in_flight.retain(|(_, _, ends)| *ends > ms);
         if random.u32(..1_000) < 60 {
             refusals.innocent += 1;
-            let print = match random.u8(..10) {
+            let fingerprint = match random.u8(..10) {
                 0 => RequestFingerprint::new(10 + random.u64(..10)),
                 _ => RequestFingerprint::new(random.u64(100..)),
             };
-            let comes_back = 5;
-            arrivals.push((ms, Innocent { print, comes_back }));
+            let retries_left = 5;
+            arrivals.push((
+                ms,
+                Innocent {
+                    fingerprint,
+                    retries_left,
+                },
+            ));
         }
-        let up = (0..TARGETS).filter(|target| back_at_ms[*target] <= ms);
-        let up: Vec<usize> = up.collect();
-        let now: Vec<Innocent> = take_due(&mut arrivals, ms);
-        for one in now {
-            let may = may_be_sent(&mut suspects, one.print, ms);
-            match random.choice(&up) {
-                Some(target) if may => under_way.push((*target, one, ms + WORK_MS)),
+        let live_targets = (0..TARGETS).filter(|target| restarted_at_ms[*target] <= ms);
+        let live_targets: Vec<usize> = live_targets.collect();
+        let due: Vec<Innocent> = take_due(&mut arrivals, ms);
+        for request in due {
+            let is_allowed = may_be_sent(&mut suspects, request.fingerprint, ms);
+            match random.choice(&live_targets) {
+                Some(target) if is_allowed => in_flight.push((*target, request, ms + WORK_MS)),
                 Some(_) => {
                     refusals.innocent_refused += 1;
-                    refusals.met_crash_refused += u32::from(one.comes_back < 5);
+                    refusals.met_crash_refused += u32::from(request.retries_left < 5);
                 }
                 None => {}
             }
         }
-        let Some(target) = random.choice(&up) else {
+        let Some(target) = random.choice(&live_targets) else {
             continue;
         };
         let harmful = RequestFingerprint::new(20 + ms * kinds / 20_000);
         if ms % 200 == 0 && may_be_sent(&mut suspects, harmful, ms) {
             refusals.crashes += 1;
-            back_at_ms[*target] = ms + AWAY_MS;
+            restarted_at_ms[*target] = ms + DOWN_MS;
             let run = run(refusals.crashes);
             suspects.record_crash(&[harmful], run, at_ms(ms));
-            for (_, one, _) in under_way.iter().filter(|(at, _, _)| at == target) {
-                suspects.record_crash(&[one.print], run, at_ms(ms));
-                refusals.met_crash += u32::from(one.comes_back == 5);
-                if one.comes_back > 0 {
-                    let comes_back = one.comes_back - 1;
-                    let print = one.print;
-                    arrivals.push((ms + AGAIN_MS, Innocent { print, comes_back }));
+            for (_, request, _) in in_flight.iter().filter(|(at, _, _)| at == target) {
+                suspects.record_crash(&[request.fingerprint], run, at_ms(ms));
+                refusals.met_crash += u32::from(request.retries_left == 5);
+                if request.retries_left > 0 {
+                    let retries_left = request.retries_left - 1;
+                    let fingerprint = request.fingerprint;
+                    arrivals.push((
+                        ms + RETRY_DELAY_MS,
+                        Innocent {
+                            fingerprint,
+                            retries_left,
+                        },
+                    ));
                 }
             }
-            under_way.retain(|(at, _, _)| at != target);
+            in_flight.retain(|(at, _, _)| at != target);
         }
     }
     refusals
@@ -441,7 +468,7 @@
     let due: Vec<Innocent> = arrivals
         .iter()
         .filter(|(at, _)| *at <= ms)
-        .map(|(_, one)| *one)
+        .map(|(_, request)| *request)
         .collect();
     arrivals.retain(|(at, _)| *at > ms);
     due
@@ -449,38 +476,46 @@
 
 #[test]
 fn few_targets_crash_and_hardly_any_other_request_is_refused_over_many_seeds() {
-    // (kinds of harmful requests, innocent requests refused of 10,000 at the most)
-    for (kinds, refused_most) in [(1, 1), (20, 20)] {
+    // (kinds of harmful requests, maximum of refused requests per 10,000 innocent requests)
+    for (kinds, refused_max) in [(1, 1), (20, 20)] {
         let mut sum = Refusals::default();
         for seed in 0..SEEDS {
-            let played = play(seed, kinds);
-            sum.crashes += played.crashes;
-            sum.innocent += played.innocent;
-            sum.innocent_refused += played.innocent_refused;
-            sum.met_crash += played.met_crash;
-            sum.met_crash_refused += played.met_crash_refused;
+            let outcome = simulate(seed, kinds);
+            sum.crashes += outcome.crashes;
+            sum.innocent += outcome.innocent;
+            sum.innocent_refused += outcome.innocent_refused;
+            sum.met_crash += outcome.met_crash;
+            sum.met_crash_refused += outcome.met_crash_refused;
         }
         println!("{kinds} kinds: {sum:?}");
         assert!(sum.crashes <= 4 * (kinds * SEEDS) as u32, "{sum:?}");
         assert!(
-            sum.innocent_refused * 10_000 <= sum.innocent * refused_most,
+            sum.innocent_refused * 10_000 <= sum.innocent * refused_max,
             "{sum:?}"
         );
     }
 }
 
 #[test]
-fn crashes_of_a_target_that_tells_no_start_count_once_each() {
+fn crashes_of_a_target_that_reports_no_start_count_once_each() {
     let service = common::state_with(1, serde_json::json!({}));
     let target = &service.targets()[0];
     let at = |time_ms| common::at_ms(time_ms);
     let first = target.record_crash(at(100));
-    assert_eq!(target.record_crash(at(103)), first, "others broke with it");
+    assert_eq!(
+        target.record_crash(at(103)),
+        first,
+        "other requests failed in the same crash"
+    );
     target.record_connection(at(99));
-    assert_eq!(target.record_crash(at(104)), first, "that began before");
+    assert_eq!(
+        target.record_crash(at(104)),
+        first,
+        "the connection attempt began before the crash"
+    );
     target.record_connection(at(105));
     target.record_connection(at(120));
     let second = target.record_crash(at(200));
-    assert_ne!(second, first, "it listened in between");
+    assert_ne!(second, first, "the target listened between the crashes");
     assert_eq!(target.record_crash(at(201)), second);
 }
--- a/crates/pinhaven-entry/src/crashes/news.rs
+++ b/crates/pinhaven-entry/src/crashes/news.rs
@@ -91,10 +91,10 @@
         .map(|(run, ago)| (run.hash(), ago.as_ms() as u32))
         .unzip();
     Suspect {
-        print: facts.print.bits(),
+        print: facts.fingerprint.bits(),
         crashed_runs,
         crashed_ago_ms,
-        unharmed: facts.unharmed,
+        unharmed: facts.successes,
     }
 }
 
@@ -106,8 +106,8 @@
         (CrashedRun::new(*run), ago)
     });
     SuspectFacts {
-        print: RequestFingerprint::new(suspect.print),
+        fingerprint: RequestFingerprint::new(suspect.print),
         crashes: crashes.collect(),
-        unharmed: suspect.unharmed,
+        successes: suspect.unharmed,
     }
 }
--- a/crates/pinhaven-entry/src/crashes/record.rs
+++ b/crates/pinhaven-entry/src/crashes/record.rs
@@ -43,13 +43,13 @@
             log::warn!(
                 target: "crashes",
                 "Request {} {}: {} targets crashed with it under way, {} answers were good.",
-                request.print, event, request.crashes, request.unharmed
+                request.fingerprint, event, request.crashes, request.successes
             );
             self.record_line(|| {
                 Line::new("suspect", event, 0)
-                    .with("print", request.print.to_string())
+                    .with("print", request.fingerprint.to_string())
                     .with("crashes", request.crashes)
-                    .with("unharmed", request.unharmed)
+                    .with("unharmed", request.successes)
                     .with_number("held_ms", held_ms)
             });
         }
--- a/crates/pinhaven-entry/src/crashes/watch.rs
+++ b/crates/pinhaven-entry/src/crashes/watch.rs
@@ -44,10 +44,14 @@
     /// Looks which requests are held back, and says what has changed since the last look.
     pub(crate) fn look_at_held(&self) -> Vec<HeldChange> {
         let now = self.held_back().into_iter();
-        let now: BTreeMap<_, _> = now.map(|request| (request.print, request)).collect();
+        let now: BTreeMap<_, _> = now.map(|request| (request.fingerprint, request)).collect();
         let mut before = self.held.lock();
-        let came = now.values().filter(|one| !before.contains_key(&one.print));
-        let went = before.values().filter(|one| !now.contains_key(&one.print));
+        let came = now
+            .values()
+            .filter(|one| !before.contains_key(&one.fingerprint));
+        let went = before
+            .values()
+            .filter(|one| !now.contains_key(&one.fingerprint));
         let came = came.copied().map(HeldChange::HeldBack);
         let changes = came.chain(went.copied().map(HeldChange::LetGo)).collect();
         *before = now;
@@ -168,7 +172,7 @@
         let (prints, turn) = (job.prints().both(), self.try_turn());
         let mut suspects = self.crashes.suspects.lock();
         match suspects.decide_send(&prints, is_sent_on, turn, self.now()) {
-            SendDecision::Sent => Ok(()),
+            SendDecision::Allowed => Ok(()),
             SendDecision::HeldBack { for_us } => Err(in_ms(for_us)),
         }
     }
@@ -181,7 +185,7 @@
         let now = self.now();
         let members = self.members.lock();
         Some(TrialTurn {
-            place: members.place_among_all(now) as u64,
+            rank: members.place_among_all(now) as u64,
             entries: members.live_peers(now).len() as u64 + 1,
         })
     }
--- a/crates/pinhaven-types/src/quantity.rs
+++ b/crates/pinhaven-types/src/quantity.rs
@@ -21,7 +21,7 @@
     /// {0:?} is not a Unix time in whole milliseconds
     Start(String),
     /// {0:?} is not a hash of a request, such as "00c0ffee00c0ffee"
-    Print(String),
+    Fingerprint(String),
 }
 
 impl std::error::Error for ParseQuantityError {}
