--- a/crates/pinhaven-decide/src/atomic.rs
+++ b/crates/pinhaven-decide/src/atomic.rs
@@ -1,9 +1,9 @@
-//! A floating point number that threads share.
+//! Floating point values that are shared between threads.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
 
-/// A shared `f32`. Reads and writes are relaxed: each value stands for itself.
+/// A shared `f32`. Reads and writes use relaxed ordering, because each value is independent of all others.
 #[derive(Debug)]
 pub(crate) struct AtomicF32(AtomicU32);
 
@@ -20,7 +20,7 @@
         self.0.store(value.to_bits(), Ordering::Relaxed);
     }
 
-    /// Replaces the value by `change` of it, again until no other thread came between.
+    /// Replaces the value by the result of `change`. Retries if another thread has changed the value meanwhile.
     pub(crate) fn update(&self, change: impl Fn(f32) -> f32) {
         let _ = self
             .0
@@ -29,14 +29,14 @@
             });
     }
 
-    /// Moves the value towards `sample` by `weight`, from 0 (stay) to 1 (take the sample).
+    /// Moves the value towards `sample` by `weight`, from 0 (no change) to 1 (replaces the value by the sample).
     pub(crate) fn blend(&self, sample: f32, weight: f32) {
         self.update(|value| value + (sample - value) * weight);
     }
 }
 
-/// A median that is learned: each sample moves it a step up or down, however far off the sample is, so
-/// that some samples which measure something else hardly count. The first steps are long.
+/// Running estimate of a median. Each sample moves the estimate one step up or down, regardless of its distance, so
+/// that outliers have little effect. The first steps are the longest.
 #[derive(Debug)]
 pub(crate) struct LearnedMedian {
     value: AtomicF32,
@@ -44,10 +44,10 @@
 }
 
 impl LearnedMedian {
-    /// A median that is thought to be `first`, as sure as `samples` samples would make it.
-    pub(crate) fn new(first: f32, samples: u32) -> Self {
+    /// Creates an estimate with the value `initial`, weighted as much as `samples` samples.
+    pub(crate) fn new(initial: f32, samples: u32) -> Self {
         Self {
-            value: AtomicF32::new(first),
+            value: AtomicF32::new(initial),
             samples: AtomicU32::new(samples),
         }
     }
@@ -56,10 +56,10 @@
         self.value.get()
     }
 
-    /// Takes a sample in; the step, as a share of the value, is never shorter than `step_least`.
-    pub(crate) fn record(&self, sample: f32, step_least: f32) {
-        let before = self.samples.fetch_add(1, Ordering::Relaxed);
-        let step = 1.0 + (1.0 / (before as f32 + 1.0)).max(step_least);
+    /// Records a sample. The step is a share of the value and is at least `step_min`.
+    pub(crate) fn record(&self, sample: f32, step_min: f32) {
+        let samples_before = self.samples.fetch_add(1, Ordering::Relaxed);
+        let step = 1.0 + (1.0 / (samples_before as f32 + 1.0)).max(step_min);
         self.value.update(|value| {
             if sample > value {
                 (value * step).min(sample)
@@ -69,7 +69,7 @@
         });
     }
 
-    /// Goes on from what another has learned.
+    /// Takes over the estimate of `other`.
     pub(crate) fn take_over(&self, other: &Self) {
         self.value.set(other.value.get());
         let samples = other.samples.load(Ordering::Relaxed);
--- a/crates/pinhaven-decide/src/forecast.rs
+++ b/crates/pinhaven-decide/src/forecast.rs
@@ -1,11 +1,12 @@
-//! When a target would answer, and which one would answer first.
+//! Forecasts when a target would answer a request, and chooses the target that is expected to answer first.
 //!
-//! The forecast for a target is the time that the request's work takes at the speed which its last
-//! report leads one to expect, plus the time until a slot is free. What all entries have under way
-//! there is known from their own counts, so a slot that is taken is not taken for a free one.
+//! The forecast for a target is the execution time of the request at the expected speed of the target plus the
+//! time until a slot is free. The expected speed comes from the last report of the target. The number of requests
+//! in flight at a target comes from the counts of all entries rather than from the reports of the target, so that
+//! occupied slots are not mistaken for free ones.
 //!
-//! A nearly full target may slow down all that it works on. That delay is measured, and a request is
-//! charged for the delay that it would bring to the others there.
+//! A nearly full target may slow down all requests that it executes. That slowdown is measured, and the score of a
+//! target includes the delay that the new request would cause to the requests already there.
 
 use crate::event::ChoiceFacts;
 use crate::service::ServiceState;
@@ -14,74 +15,76 @@
 use pinhaven_types::TargetAddress;
 use std::sync::Arc;
 
-/// Targets that one pick looks at, so that its cost does not grow with the service: of the entry's own,
-/// and of the others.
-const OWN_LOOKS_MAX: usize = 48;
-const OTHER_LOOKS_MAX: usize = 32;
-/// Use of a target's slots from which it counts as nearly full.
-const CROWDED_FROM: f32 = 0.8;
-/// How many times longer work takes at a target that has just started. Targets say how long they
-/// are slow, not by how much; twice was seen.
+/// Maximum number of targets examined per choice, of the entry's own targets and of the others. Bounds the cost of
+/// a choice independently of the size of the service.
+const OWN_CANDIDATES_MAX: usize = 48;
+const OTHER_CANDIDATES_MAX: usize = 32;
+/// Utilization of a target's slots from which the target counts as nearly full.
+const CROWDED_UTILIZATION: f32 = 0.8;
+/// Factor by which work takes longer at a target that has just started. Targets report how long they are slow
+/// after a start, but not by how much.
 const COLD_FACTOR: f32 = 2.0;
-/// Forecasts that differ by less than this share count as equal and are decided by lot, so that
-/// entries with the same view don't all go to the same target.
-const LOT_SHARE: f32 = 0.05;
-/// Weight of a target's use among equal forecasts.
-const USE_WEIGHT: f32 = 0.10;
-/// What a target in another failure domain is charged, as a share of the work: the way there costs
-/// time and paid traffic.
-const FAR_SHARE: f32 = 0.10;
-/// The least that it is charged, in milliseconds.
-const FAR_LEAST_MS: f32 = 2.0;
-/// What a target that another entry owns is charged, as a share of the work. What others have
-/// under way there is known late, and it is they who need it when their own are full.
+/// Relative difference below which scores count as equal. Random jitter decides between equal scores, so that
+/// entries with the same state don't all choose the same target.
+const TIE_JITTER_SHARE: f32 = 0.05;
+/// Weight of a target's utilization in its score, which decides between targets with equal forecasts.
+const UTILIZATION_WEIGHT: f32 = 0.10;
+/// Cost of a target in another failure domain, as a share of the work: the route there costs time and paid
+/// traffic.
+const REMOTE_DOMAIN_SHARE: f32 = 0.10;
+/// Minimum cost of a target in another failure domain, in milliseconds.
+const REMOTE_DOMAIN_MIN_MS: f32 = 2.0;
+/// Cost of a target that another entry owns, as a share of the work. Updates about the requests that other
+/// entries have in flight there arrive late, and the owner needs the target when its other targets are full.
 const NOT_OWNED_SHARE: f32 = 0.15;
-/// Slots of a target that are left to its owner: others hear of a slot that came free when it may be
-/// taken again.
-const LEFT_TO_OWNER: f32 = 1.0;
-/// A target that is slower than this is spare: a request that can still meet its aim does not go there
-/// while it may wait, so that one which can't takes nothing from others.
+/// Slots of a target that only its owner uses. Other entries learn that a slot is free only after it may have
+/// been occupied again.
+const OWNER_RESERVED_SLOTS: f32 = 1.0;
+/// Slowdown from which a target counts as spare. A request that can still meet its aim waits rather than go to a
+/// spare target, so a request that can't meet its aim may use a spare target without delaying other requests.
 const SPARE_SLOWDOWN: f32 = 2.0;
-/// Share of the usable slots at targets of usual speed that must be free for those to be spare too.
-const SPARE_FREE_SHARE: f32 = 0.35;
-/// Share of the work of a late request that a slow target may still have to do once it is fast again. A
-/// late answer is worth a tenth or a fifth of one in time, and something for being one at all.
-const SPARE_USUAL_SHARE: f32 = 0.45;
-/// How much more the last slots of targets must bring than they cost the others there.
+/// Share of the usable slots at targets of usual speed that must be free for these targets to count as spare too.
+const SPARE_FREE_SHARE_MIN: f32 = 0.35;
+/// Maximum share of a late request's work that a slow target may still have to do after it has become fast
+/// again. A late answer is worth a tenth to a fifth of an answer in time, and more than a refusal.
+const SPARE_CARRY_OVER_MAX: f32 = 0.45;
+/// Factor by which the throughput of a full target must exceed its throughput with the last slots empty for these
+/// slots to be used.
 const CROWDING_GAIN: f32 = 1.05;
-/// Age from which the lack of reports makes a target suspect, in milliseconds; several rounds of
-/// probes are missing then.
+/// Report age from which a target is penalised for its silence, in milliseconds. Several rounds of probes are
+/// missing at that age.
 const SILENT_AFTER_MS: f32 = 400.0;
-/// Silence past that which counts as the work once more, in milliseconds.
+/// Silence beyond [`SILENT_AFTER_MS`] that adds one times the work to the score, in milliseconds.
 const SILENT_PER_WORK_MS: f32 = 200.0;
-/// The most that silence counts, in times the work.
-const SILENT_MOST: f32 = 10.0;
+/// Maximum penalty for silence, as a multiple of the work.
+const SILENCE_MAX: f32 = 10.0;
 
-/// A target and when it would answer.
+/// A target with its expected answer time.
 #[derive(Debug)]
 pub(crate) struct Forecast {
     pub(crate) target: Arc<TargetState>,
     /// Time until the answer, in milliseconds.
     pub(crate) answer_ms: f32,
-    /// Requests that it holds, from all entries.
+    /// Requests in flight at the target from all entries, plus a penalty for recent failures.
     pub(crate) load: f32,
-    /// The slowdown that was expected.
+    /// Expected slowdown of the target.
     pub(crate) slowdown: f32,
-    /// Time until the answer if the target is as fast as usual, where nothing is known of its speed.
-    hopeful_ms: Option<f32>,
+    /// Time until the answer if the target works at its usual speed, in milliseconds. `None` if the target has
+    /// reported its speed recently.
+    optimistic_ms: Option<f32>,
 }
 
 /// Which targets a request may go to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TargetFilter {
-    /// Those with a usable slot free.
+    /// Targets with a free usable slot.
     Any,
-    /// Those with a slot free that requests in time don't need.
+    /// Targets with a free slot that requests which can meet their aim don't need.
     Spare,
 }
 
 impl Forecast {
-    /// What decided the choice.
+    /// The figures on which the choice is based.
     pub(crate) fn facts(&self, now: Microseconds) -> ChoiceFacts {
         let reported = self.target.reported_speed();
         ChoiceFacts {
@@ -92,10 +95,11 @@
         }
     }
 
-    /// Time until the answer by which it is decided whether the request is sent at all, in milliseconds.
-    /// A guess is no reason to refuse: an entry that nobody has told of speeds lately would refuse all.
+    /// Time until the answer that decides whether the request is sent at all, in milliseconds. Without a recent
+    /// report, the usual speed is assumed: an entry that has received no reports for a while would otherwise refuse
+    /// all requests on the basis of a mean.
     pub(crate) fn admission_ms(&self) -> f32 {
-        self.hopeful_ms.unwrap_or(self.answer_ms)
+        self.optimistic_ms.unwrap_or(self.answer_ms)
     }
 
     /// Whether the request would make the target nearly full.
@@ -104,7 +108,7 @@
     }
 }
 
-/// The forecast for one target.
+/// Returns the forecast for one target.
 pub(crate) fn forecast(
     service: &ServiceState,
     target: &Arc<TargetState>,
@@ -113,28 +117,30 @@
 ) -> Forecast {
     let load = load_of(target, now);
     let slowdown = target.expected_slowdown(now, &service.speed);
-    let run_ms = run_ms(service, target, now, work_ms, load, slowdown);
+    let execution_ms = execution_ms(service, target, now, work_ms, load, slowdown);
     let queued = (load + 1.0 - target.slots()).max(0.0);
-    let with_queue = |run_ms: f32| run_ms + queued * run_ms / target.slots();
-    let is_guess = !target.has_recent_report(now, &service.speed);
-    let hopeful_ms = is_guess.then(|| run_ms_at_usual(service, target, now, work_ms, load));
+    let with_queue = |execution_ms: f32| execution_ms + queued * execution_ms / target.slots();
+    let lacks_report = !target.has_recent_report(now, &service.speed);
+    let optimistic_ms =
+        lacks_report.then(|| execution_ms_at_usual_speed(service, target, now, work_ms, load));
     Forecast {
         target: Arc::clone(target),
-        answer_ms: with_queue(run_ms),
+        answer_ms: with_queue(execution_ms),
         load,
         slowdown,
-        hopeful_ms: hopeful_ms.map(with_queue),
+        optimistic_ms: optimistic_ms.map(with_queue),
     }
 }
 
-/// The target that is expected to answer first among those of the lane; `None` when there is none.
+/// Returns the target that is expected to answer first among those that `filter` admits, or `None` if there is
+/// none.
 pub(crate) fn earliest(
     service: &ServiceState,
     now: Microseconds,
     random: &mut fastrand::Rng,
     work_ms: f32,
     tried: &[TargetAddress],
-    lane: TargetFilter,
+    filter: TargetFilter,
 ) -> Option<Forecast> {
     let targets = service.targets();
     if targets.is_empty() {
@@ -142,13 +148,13 @@
     }
     let own = service.owned();
     let own_start = random.usize(..own.len().max(1));
-    let own_looks = from(&own, own_start).take(OWN_LOOKS_MAX);
+    let own_candidates = rotated(&own, own_start).take(OWN_CANDIDATES_MAX);
     let start = random.usize(..targets.len());
-    let others = from(targets, start).filter(|target| !target.is_owned());
-    let looked_at = own_looks.chain(others.take(OTHER_LOOKS_MAX));
+    let others = rotated(targets, start).filter(|target| !target.is_owned());
+    let candidates = own_candidates.chain(others.take(OTHER_CANDIDATES_MAX));
     let mut earliest: Option<(f32, Forecast)> = None;
-    let mut use_of_usual = Use::default();
-    for target in looked_at {
+    let mut usage_at_usual_speed = SlotUsage::default();
+    for target in candidates {
         if !is_usable(service, target, now, tried) {
             continue;
         }
@@ -156,41 +162,44 @@
         let is_spare = forecast.slowdown >= SPARE_SLOWDOWN;
         let slots = usable_slots(service, target, now);
         if !is_spare {
-            use_of_usual.add(&forecast, slots);
+            usage_at_usual_speed.add(&forecast, slots);
         }
-        if forecast.load >= slots || (lane == TargetFilter::Spare && !is_spare) {
+        if forecast.load >= slots || (filter == TargetFilter::Spare && !is_spare) {
             continue;
         }
-        let rank_ms = rank_ms(service, &forecast, now, work_ms);
-        let rank_ms = rank_ms * (1.0 + LOT_SHARE * random.f32());
-        if earliest.as_ref().is_none_or(|(least, _)| rank_ms < *least) {
-            earliest = Some((rank_ms, forecast));
+        let score_ms = score_ms(service, &forecast, now, work_ms);
+        let score_ms = score_ms * (1.0 + TIE_JITTER_SHARE * random.f32());
+        if earliest
+            .as_ref()
+            .is_none_or(|(lowest, _)| score_ms < *lowest)
+        {
+            earliest = Some((score_ms, forecast));
         }
     }
-    if lane == TargetFilter::Spare && use_of_usual.free_share() > SPARE_FREE_SHARE {
+    if filter == TargetFilter::Spare && usage_at_usual_speed.free_share() > SPARE_FREE_SHARE_MIN {
         return self::earliest(service, now, random, work_ms, tried, TargetFilter::Any);
     }
-    if lane == TargetFilter::Spare {
+    if filter == TargetFilter::Spare {
         earliest.take_if(|(_, forecast)| {
-            service.speed.carry_over_share(work_ms, forecast.slowdown) > SPARE_USUAL_SHARE
+            service.speed.carry_over_share(work_ms, forecast.slowdown) > SPARE_CARRY_OVER_MAX
         });
     }
     earliest.map(|(_, forecast)| forecast)
 }
 
-/// All targets, beginning with the one at `start`.
-fn from(targets: &[Arc<TargetState>], start: usize) -> impl Iterator<Item = &Arc<TargetState>> {
+/// Iterates over all targets, beginning with the target at index `start`.
+fn rotated(targets: &[Arc<TargetState>], start: usize) -> impl Iterator<Item = &Arc<TargetState>> {
     targets[start..].iter().chain(&targets[..start])
 }
 
-/// Slots of some targets and how many of them are taken.
+/// Number of slots of a set of targets, and how many of them are occupied.
 #[derive(Debug, Default)]
-struct Use {
+struct SlotUsage {
     slots: f32,
     taken: f32,
 }
 
-impl Use {
+impl SlotUsage {
     fn add(&mut self, forecast: &Forecast, slots: f32) {
         self.slots += slots;
         self.taken += forecast.load.min(slots);
@@ -205,43 +214,44 @@
     }
 }
 
-/// Slots of a target that are worth using. Where a nearly full target slows down so much that it does
-/// less in all, its last slots stay empty. That holds for slow targets too: they turn fast again, and
-/// then work on what they have.
+/// Number of slots of a target that are worth using. If a nearly full target slows down so much that its total
+/// throughput falls, its last slots stay empty. This applies to slow targets too: when they become fast again,
+/// they still execute the requests that they have accepted.
 fn usable_slots(service: &ServiceState, target: &TargetState, now: Microseconds) -> f32 {
     let slots = target.slots();
-    let uncrowded = (slots * CROWDED_FROM).ceil() - 1.0;
-    let is_crowding_worth_it = slots / service.crowding_to_fill(now) > uncrowded * CROWDING_GAIN;
-    let usable = if is_crowding_worth_it || uncrowded < 1.0 {
+    let uncrowded_slots = (slots * CROWDED_UTILIZATION).ceil() - 1.0;
+    let is_filling_worthwhile =
+        slots / service.crowding_to_fill(now) > uncrowded_slots * CROWDING_GAIN;
+    let usable = if is_filling_worthwhile || uncrowded_slots < 1.0 {
         slots
     } else {
-        uncrowded
+        uncrowded_slots
     };
     let is_overfilling_cheap = usable == slots;
     if target.is_owned() || !service.has_owned() || is_overfilling_cheap {
         usable
     } else {
-        (usable - LEFT_TO_OWNER).max(1.0)
+        (usable - OWNER_RESERVED_SLOTS).max(1.0)
     }
 }
 
-/// Requests that a target holds from all entries, with a penalty for recent failures.
+/// Requests in flight at a target from all entries, plus a penalty for recent failures.
 fn load_of(target: &TargetState, now: Microseconds) -> f32 {
     let in_flight = target.in_flight() + target.peers_in_flight();
     in_flight as f32 + target.penalty_at(now)
 }
 
-/// Whether a target that holds `load` requests would be nearly full with one more.
+/// Whether a target with `load` requests in flight would be nearly full with one more.
 fn is_crowded(target: &TargetState, load: f32) -> bool {
     is_nearly_full(target, load + 1.0)
 }
 
-/// Whether a target that holds `load` requests is nearly full.
+/// Whether a target with `load` requests in flight is nearly full.
 pub(crate) fn is_nearly_full(target: &TargetState, load: f32) -> bool {
-    load >= target.slots() * CROWDED_FROM
+    load >= target.slots() * CROWDED_UTILIZATION
 }
 
-fn run_ms(
+fn execution_ms(
     service: &ServiceState,
     target: &TargetState,
     now: Microseconds,
@@ -249,11 +259,11 @@
     load: f32,
     slowdown: f32,
 ) -> f32 {
-    let work_ms = run_ms_at_usual(service, target, now, work_ms, load);
+    let work_ms = execution_ms_at_usual_speed(service, target, now, work_ms, load);
     service.speed.time_for(work_ms, slowdown)
 }
 
-fn run_ms_at_usual(
+fn execution_ms_at_usual_speed(
     service: &ServiceState,
     target: &TargetState,
     now: Microseconds,
@@ -271,30 +281,31 @@
     work_ms
 }
 
-/// What targets are compared by, in milliseconds: the forecast, and what the choice costs others.
-fn rank_ms(service: &ServiceState, forecast: &Forecast, now: Microseconds, work_ms: f32) -> f32 {
+/// Returns the score by which targets are compared, in milliseconds: the forecast plus the cost of the choice to
+/// other requests. The target with the lowest score is chosen.
+fn score_ms(service: &ServiceState, forecast: &Forecast, now: Microseconds, work_ms: f32) -> f32 {
     let target = &forecast.target;
-    let mut rank_ms = forecast.answer_ms;
+    let mut score_ms = forecast.answer_ms;
     if forecast.is_crowded() {
-        rank_ms += (service.crowding.get() - 1.0) * work_ms * forecast.load;
+        score_ms += (service.crowding.get() - 1.0) * work_ms * forecast.load;
     }
     if !service.is_near(target) {
-        rank_ms += (work_ms * FAR_SHARE).max(FAR_LEAST_MS);
+        score_ms += (work_ms * REMOTE_DOMAIN_SHARE).max(REMOTE_DOMAIN_MIN_MS);
     }
     if !target.is_owned() {
-        rank_ms += work_ms * NOT_OWNED_SHARE;
+        score_ms += work_ms * NOT_OWNED_SHARE;
     }
-    rank_ms += work_ms * silence(target, now);
-    rank_ms * (1.0 + USE_WEIGHT * forecast.load / target.slots())
+    score_ms += work_ms * silence(target, now);
+    score_ms * (1.0 + UTILIZATION_WEIGHT * forecast.load / target.slots())
 }
 
-/// How suspect a target is for saying nothing, in times the work.
+/// Returns the penalty for a target without recent reports, as a multiple of the work.
 fn silence(target: &TargetState, now: Microseconds) -> f32 {
     let Some((_, at)) = target.reported_speed() else {
         return 0.0;
     };
     let age_ms = now.saturating_sub(at).as_ms() as f32;
-    ((age_ms - SILENT_AFTER_MS) / SILENT_PER_WORK_MS).clamp(0.0, SILENT_MOST)
+    ((age_ms - SILENT_AFTER_MS) / SILENT_PER_WORK_MS).clamp(0.0, SILENCE_MAX)
 }
 
 fn is_usable(
--- a/crates/pinhaven-decide/src/initial_deadline.rs
+++ b/crates/pinhaven-decide/src/initial_deadline.rs
@@ -1,23 +1,24 @@
-//! The deadline with which callers of a route begin.
+//! Learns the deadline with which callers of a route begin.
 //!
-//! Callers name what is left of their deadline on each further try, so the deadline of a first try is one
-//! value that comes again and again, and those of later tries are any below it. The frequent values are
-//! counted in a few counters (Misra and Gries), which a value keeps that makes up more than a fifth of all.
-//! So three first tries tell, also when most requests are later ones: that is the load after an outage of
-//! all entries, and a request whose aim is past must not take a slot from one that can still meet it.
+//! Callers send the remaining time of their deadline with each retry. The deadline of a first attempt is therefore
+//! one value that recurs, while the deadlines of retries are any values below it. The frequent values are counted
+//! with the Misra-Gries algorithm, whose few counters retain every value that makes up more than a fifth of all
+//! values. Three first attempts are enough to learn the initial deadline even if most requests are retries. Such a
+//! load follows an outage of all entries, when a request whose aim has passed must not take a slot from a request
+//! that can still meet its aim.
 
 use pinhaven_types::Microseconds;
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// Values that are counted at the same time.
+/// Number of values that are counted at the same time.
 const COUNTERS: usize = 4;
-/// Times that a deadline must have come to count as a first one. Two of a few thousand possible
-/// milliseconds coincide now and then, three hardly.
-const USUAL_FROM: u32 = 3;
-/// The most that is counted, so that another usual deadline is learned within some hundred requests.
-const COUNT_MOST: u32 = 200;
+/// Count from which a deadline is accepted as an initial deadline. Among a few thousand possible values in
+/// milliseconds, two retries coincide now and then, three hardly ever.
+const INITIAL_COUNT_MIN: u32 = 3;
+/// Maximum count of a value, so that a change of the initial deadline is learned within a few hundred requests.
+const COUNT_MAX: u32 = 200;
 
 #[derive(Debug)]
 struct Counter {
@@ -25,12 +26,12 @@
     count: AtomicU32,
 }
 
-/// Counts of the most frequent deadlines. Counts that threads take at the same time may be off by one.
+/// Counts of the most frequent deadlines. Concurrent updates may leave a count off by one.
 #[derive(Debug)]
 pub(crate) struct InitialDeadline([Counter; COUNTERS]);
 
 impl InitialDeadline {
-    /// Nothing is known yet.
+    /// Creates the counters without any deadline.
     pub(crate) fn new() -> Self {
         Self(std::array::from_fn(|_| Counter {
             deadline_us: AtomicU64::new(0),
@@ -40,11 +41,11 @@
 
     /// Counts a deadline.
     pub(crate) fn record(&self, deadline: Microseconds) {
-        let is_it = |counter: &&Counter| {
+        let is_same_deadline = |counter: &&Counter| {
             counter.deadline_us.load(Ordering::Relaxed) == deadline.count() && counter.count() > 0
         };
-        if let Some(counter) = self.0.iter().find(is_it) {
-            let count = (counter.count() + 1).min(COUNT_MOST);
+        if let Some(counter) = self.0.iter().find(is_same_deadline) {
+            let count = (counter.count() + 1).min(COUNT_MAX);
             counter.count.store(count, Ordering::Relaxed);
             return;
         }
@@ -59,19 +60,19 @@
         }
     }
 
-    /// The deadline of a first try, if it has come often enough.
+    /// The initial deadline, or `None` until a deadline has recurred often enough.
     pub(crate) fn initial(&self) -> Option<Microseconds> {
-        let usual = self.0.iter().max_by_key(|counter| counter.count())?;
-        let deadline_us = usual.deadline_us.load(Ordering::Relaxed);
-        (usual.count() >= USUAL_FROM).then(|| Microseconds::new(deadline_us))
+        let most_frequent = self.0.iter().max_by_key(|counter| counter.count())?;
+        let deadline_us = most_frequent.deadline_us.load(Ordering::Relaxed);
+        (most_frequent.count() >= INITIAL_COUNT_MIN).then(|| Microseconds::new(deadline_us))
     }
 
-    /// Goes on from what another has learned.
+    /// Takes over the counts of `other`.
     pub(crate) fn take_over(&self, other: &Self) {
-        for (own, others) in self.0.iter().zip(&other.0) {
-            let deadline_us = others.deadline_us.load(Ordering::Relaxed);
+        for (own, theirs) in self.0.iter().zip(&other.0) {
+            let deadline_us = theirs.deadline_us.load(Ordering::Relaxed);
             own.deadline_us.store(deadline_us, Ordering::Relaxed);
-            own.count.store(others.count(), Ordering::Relaxed);
+            own.count.store(theirs.count(), Ordering::Relaxed);
         }
     }
 }
--- a/crates/pinhaven-decide/src/route.rs
+++ b/crates/pinhaven-decide/src/route.rs
@@ -1,92 +1,92 @@
-//! What an entry has learned of one route: how long its requests work.
+//! What an entry learns about one route: the work of its requests and the initial deadline of its callers.
 
 use crate::atomic::LearnedMedian;
 use crate::initial_deadline::InitialDeadline;
 use crate::work_estimate::WorkEstimate;
 use pinhaven_types::Microseconds;
 
-/// Share of a route's aim that its work is thought to take until it has been measured.
-const WORK_FIRST_SHARE: f32 = 0.33;
-/// How sure that is, in answers.
-const WORK_FIRST_SAMPLES: u32 = 4;
-/// Weight of one answer in the route's work.
+/// Assumed work before the first answer, as a share of the route's aim.
+const WORK_INITIAL_SHARE: f32 = 0.33;
+/// Weight of the assumed work, in answers.
+const WORK_INITIAL_SAMPLES: u32 = 4;
+/// Minimum weight of one answer in the route's work.
 const WORK_WEIGHT: f32 = 0.03;
-/// How far works are from the median until that has been measured, and the least, as logarithms.
-const WORK_OFF_FIRST: f32 = 0.25;
-const WORK_OFF_LEAST: f32 = 0.05;
-/// Median distance from the mean in a normal distribution, as a share of its deviation.
-const MEDIAN_OFF_SHARE: f32 = 0.674;
-/// An answer counts for at most this many times the work so far, so that a few stuck requests don't
-/// move it.
-const WORK_SAMPLE_MOST: f32 = 3.0;
-/// The shortest work, in milliseconds; a time of zero would make all targets alike.
-const WORK_LEAST_MS: f32 = 0.2;
+/// Initial and minimum deviation of the work from its median, as the absolute logarithm of their ratio.
+const DEVIATION_INITIAL: f32 = 0.25;
+const DEVIATION_MIN: f32 = 0.05;
+/// Median absolute deviation of a normal distribution, as a share of its standard deviation.
+const MEDIAN_DEVIATION_SHARE: f32 = 0.674;
+/// Multiple of the current estimate to which the work of one answer is limited, so that a few stuck requests don't
+/// distort the estimate.
+const WORK_SAMPLE_FACTOR_MAX: f32 = 3.0;
+/// Minimum work, in milliseconds. With a work of zero, all targets would have the same forecast.
+const WORK_MIN_MS: f32 = 0.2;
 
-/// A route as one entry sees it.
+/// State of a route in one entry.
 #[derive(Debug)]
 pub struct RouteState {
     aim: Microseconds,
     work_ms: LearnedMedian,
-    /// Median of how far works are from the median work, as the absolute logarithm of their ratio.
-    work_off: LearnedMedian,
-    deadlines: InitialDeadline,
+    /// Median deviation of the work from the median work, as the absolute logarithm of their ratio.
+    deviation: LearnedMedian,
+    initial_deadline: InitialDeadline,
 }
 
 impl RouteState {
-    /// A route whose answers are worth all they can be within `aim_ms`.
+    /// Creates the state of a route whose answers have full value within `aim_ms` milliseconds.
     pub fn new(aim_ms: u64) -> Self {
         Self {
             aim: Microseconds::from_ms(aim_ms),
             work_ms: LearnedMedian::new(
-                (aim_ms as f32 * WORK_FIRST_SHARE).max(WORK_LEAST_MS),
-                WORK_FIRST_SAMPLES,
+                (aim_ms as f32 * WORK_INITIAL_SHARE).max(WORK_MIN_MS),
+                WORK_INITIAL_SAMPLES,
             ),
-            work_off: LearnedMedian::new(WORK_OFF_FIRST, WORK_FIRST_SAMPLES),
-            deadlines: InitialDeadline::new(),
+            deviation: LearnedMedian::new(DEVIATION_INITIAL, WORK_INITIAL_SAMPLES),
+            initial_deadline: InitialDeadline::new(),
         }
     }
 
-    /// The same with what was learned of the route in an earlier version.
+    /// Takes over what was learned about the route in an earlier version.
     pub fn with_learned(self, previous: &Self) -> Self {
         self.work_ms.take_over(&previous.work_ms);
-        self.work_off.take_over(&previous.work_off);
-        self.deadlines.take_over(&previous.deadlines);
+        self.deviation.take_over(&previous.deviation);
+        self.initial_deadline.take_over(&previous.initial_deadline);
         self
     }
 
-    /// Takes in the deadline of a request, and returns how long its caller has waited before, on
-    /// tries that failed. Callers of a route begin with one deadline and name what is left of it on
-    /// each further try.
+    /// Records the deadline of a request, and returns how long its caller has already waited on earlier failed
+    /// attempts. Callers of a route begin with the same deadline and send the time that remains of it with each retry.
     pub fn prior_wait(&self, deadline: Microseconds) -> Microseconds {
-        self.deadlines.record(deadline);
-        let usual = self.deadlines.initial().unwrap_or(deadline);
-        usual.saturating_sub(deadline)
+        self.initial_deadline.record(deadline);
+        let initial = self.initial_deadline.initial().unwrap_or(deadline);
+        initial.saturating_sub(deadline)
     }
 
-    /// The time within which an answer is worth all it can be.
+    /// The time within which an answer has its full value.
     pub fn aim(&self) -> Microseconds {
         self.aim
     }
 
-    /// Time that a request works at a target of usual speed, in milliseconds.
+    /// Time that a request takes at a target of usual speed, in milliseconds.
     pub fn work_ms(&self) -> f32 {
         self.work_ms.get()
     }
 
-    /// What is known of the work of its requests.
+    /// Work statistics of the route's requests.
     pub(crate) fn work(&self) -> WorkEstimate {
         WorkEstimate {
             median_ms: self.work_ms.get(),
-            spread: self.work_off.get() / MEDIAN_OFF_SHARE,
+            spread: self.deviation.get() / MEDIAN_DEVIATION_SHARE,
         }
     }
 
-    /// Takes in that a request needed `work_ms` of a target of usual speed.
+    /// Records that a request needed `work_ms` at a target of usual speed.
     pub(crate) fn record_work(&self, work_ms: f32) {
-        let most_ms = self.work_ms.get() * WORK_SAMPLE_MOST;
-        let sample_ms = work_ms.clamp(WORK_LEAST_MS, most_ms);
-        let off = (sample_ms / self.work_ms.get()).ln().abs();
-        self.work_off.record(off.max(WORK_OFF_LEAST), WORK_WEIGHT);
+        let max_ms = self.work_ms.get() * WORK_SAMPLE_FACTOR_MAX;
+        let sample_ms = work_ms.clamp(WORK_MIN_MS, max_ms);
+        let deviation = (sample_ms / self.work_ms.get()).ln().abs();
+        self.deviation
+            .record(deviation.max(DEVIATION_MIN), WORK_WEIGHT);
         self.work_ms.record(sample_ms, WORK_WEIGHT);
     }
 }
--- a/crates/pinhaven-decide/src/speed.rs
+++ b/crates/pinhaven-decide/src/speed.rs
@@ -1,9 +1,9 @@
-//! How fast targets work at this moment, and how long that lasts.
+//! Tracks how fast targets work at present and how long a speed lasts.
 //!
-//! Targets share their instances with others, so each turns several times slower and back within
-//! fractions of a second. A report says which; its worth falls with its age, measured against how long
-//! a speed lasts. That time is learned from successive reports, not set.
-//! Whether work follows that speed or keeps its first one is [`FixedSpeedEstimate`]'s to say.
+//! Targets share their instances with other software, so the speed of each target drops several times and recovers
+//! within fractions of a second. A target reports its current slowdown. The weight of a report decreases with its
+//! age relative to the mean duration of a speed, which is learned from successive reports rather than configured.
+//! [`FixedSpeedEstimate`] estimates whether work runs at the current speed or retains its initial speed.
 
 use crate::atomic::AtomicF32;
 use crate::fixed_speed::FixedSpeedEstimate;
@@ -11,30 +11,31 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// How long a speed is thought to last before any change was seen, in milliseconds.
-const LASTING_FIRST_MS: f32 = 500.0;
-/// The shortest and the longest time that a speed is thought to last, in milliseconds. Below the
-/// first no report could be used in time; past the second a report is as good as certain.
-const LASTING_MS: (f32, f32) = (50.0, 60_000.0);
-/// Two slowdowns are different speeds when one is this many times the other.
+/// Assumed duration of a speed before any change was observed, in milliseconds.
+const DURATION_INITIAL_MS: f32 = 500.0;
+/// Minimum and maximum mean duration of a speed, in milliseconds. Below the minimum no report would arrive in time
+/// to be used; above the maximum a report is practically certain.
+const DURATION_RANGE_MS: (f32, f32) = (50.0, 60_000.0);
+/// Ratio of two slowdowns from which they count as different speeds.
 const CHANGE_FACTOR: f32 = 1.5;
-/// Reports further apart than this say nothing about when a speed changed, in milliseconds: it may
-/// have changed and changed back.
-const GAP_MOST_MS: f32 = 400.0;
-/// Observed time after which old observations count half, in milliseconds of all targets together.
-const MEMORY_MS: f32 = 60_000.0;
-/// Changes that count as seen before any was, so that the first ones don't decide alone.
-const CHANGES_PRIOR: f32 = 4.0;
-/// How slow slow targets are thought to be before any was seen.
-const SLOW_FIRST: f32 = 4.0;
-/// Weight of one report in that.
-const SLOW_WEIGHT: f32 = 0.02;
-/// Chance that work began at a slow target though its reports before and after that say that it was fast.
-const UNSEEN_SLOW: f32 = 0.02;
+/// Maximum interval between two reports that is used to learn the duration of a speed, in milliseconds. Over a
+/// longer interval the speed may have changed and changed back.
+const REPORT_GAP_MAX_MS: f32 = 400.0;
+/// Observed time after which earlier observations are halved, in milliseconds summed over all targets.
+const OBSERVED_MAX_MS: f32 = 60_000.0;
+/// Number of changes assumed before the first observation, so that the first changes don't dominate the estimate.
+const PRIOR_CHANGES: f32 = 4.0;
+/// Assumed slowdown of slow targets before any was observed.
+const SLOW_FACTOR_INITIAL: f32 = 4.0;
+/// Weight of one report in the mean slowdown of slow targets.
+const SLOW_FACTOR_WEIGHT: f32 = 0.02;
+/// Minimum probability that work started at a slow target, for a target whose reports before and after the start
+/// show no slowdown.
+const SLOW_CHANCE_MIN: f32 = 0.02;
 /// Weight of one report in the mean slowdown of a service.
 const MEAN_WEIGHT: f32 = 0.01;
 
-/// What one target last said of its speed.
+/// Last reported slowdown of one target.
 #[derive(Debug)]
 pub(crate) struct ReportedSpeed {
     slowdown: AtomicF32,
@@ -42,7 +43,7 @@
 }
 
 impl ReportedSpeed {
-    /// A speed of which nothing was said yet.
+    /// Creates the state of a target that has reported no speed yet.
     pub(crate) fn unknown() -> Self {
         Self {
             slowdown: AtomicF32::new(1.0),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Takes in a report that was made at `at`. Returns whether it is news.
+    /// Records a report that was made at `at`. Returns whether the report is newer than the last one.
     pub(crate) fn record(&self, at: Microseconds, slowdown: f32, service: &ServiceSpeed) -> bool {
         let before_us = self.at_us.load(Ordering::Relaxed);
         if at.count() <= before_us {
@@ -66,32 +67,32 @@
         true
     }
 
-    /// What was last said, and when; `None` when nothing was.
+    /// The last reported slowdown and its time, or `None` before the first report.
     pub(crate) fn last(&self) -> Option<(f32, Microseconds)> {
         let at_us = self.at_us.load(Ordering::Relaxed);
         (at_us > 0).then(|| (self.slowdown.get(), Microseconds::new(at_us)))
     }
 
-    /// The slowdown to be expected at `now`: what was last said, the less of it the older it is.
+    /// Expected slowdown at `now`. Moves from the last report towards the mean of the service as the report ages.
     pub(crate) fn expected(&self, now: Microseconds, service: &ServiceSpeed) -> f32 {
         let mean = service.mean.get();
         let Some((slowdown, at)) = self.last() else {
             return mean;
         };
         let age_ms = now.saturating_sub(at).as_ms() as f32;
-        let still_holds = (-age_ms / service.mean_duration_ms()).exp();
-        mean + (slowdown - mean) * still_holds
+        let validity = (-age_ms / service.mean_duration_ms()).exp();
+        mean + (slowdown - mean) * validity
     }
 }
 
-/// What is known of the speeds of a service's targets together.
+/// Speed statistics of all targets of a service.
 #[derive(Debug)]
 pub(crate) struct ServiceSpeed {
     mean: AtomicF32,
     slow: AtomicF32,
     observed_ms: AtomicF32,
     changes: AtomicF32,
-    /// Whether work keeps the speed with which it began.
+    /// Estimate whether work retains the speed at which it started.
     pub(crate) fixed_speed: FixedSpeedEstimate,
 }
 
@@ -99,9 +100,9 @@
     pub(crate) fn new() -> Self {
         Self {
             mean: AtomicF32::new(1.0),
-            slow: AtomicF32::new(SLOW_FIRST),
-            observed_ms: AtomicF32::new(LASTING_FIRST_MS * CHANGES_PRIOR),
-            changes: AtomicF32::new(CHANGES_PRIOR),
+            slow: AtomicF32::new(SLOW_FACTOR_INITIAL),
+            observed_ms: AtomicF32::new(DURATION_INITIAL_MS * PRIOR_CHANGES),
+            changes: AtomicF32::new(PRIOR_CHANGES),
             fixed_speed: FixedSpeedEstimate::new(),
         }
     }
@@ -114,59 +115,61 @@
         self.fixed_speed.take_over(&previous.fixed_speed);
     }
 
-    /// How many times longer work takes at slow targets, on average.
+    /// Mean slowdown of slow targets.
     pub(crate) fn slow_factor(&self) -> f32 {
         self.slow.get().max(CHANGE_FACTOR)
     }
 
-    /// Chance that a target of which `slowdown` is expected is slow.
+    /// Probability that a target with the expected `slowdown` is slow.
     pub(crate) fn slow_chance(&self, slowdown: f32) -> f32 {
         let share = (slowdown - 1.0) / (self.slow_factor() - 1.0);
-        share.clamp(UNSEEN_SLOW, 1.0)
+        share.clamp(SLOW_CHANCE_MIN, 1.0)
     }
 
-    /// Time that `work_ms` takes at a target that is slow by `slowdown` when it begins, in milliseconds.
+    /// Expected duration of `work_ms` that starts at a target with this `slowdown`, in milliseconds.
     pub(crate) fn time_for(&self, work_ms: f32, slowdown: f32) -> f32 {
-        let followed_ms = self.time_if_followed(work_ms, slowdown);
-        let kept_ms = work_ms * slowdown.max(1.0);
-        self.fixed_speed.blend_to_begin(followed_ms, kept_ms)
+        let at_current_speed_ms = self.time_at_current_speed(work_ms, slowdown);
+        let at_initial_speed_ms = work_ms * slowdown.max(1.0);
+        self.fixed_speed
+            .blend_for_start(at_current_speed_ms, at_initial_speed_ms)
     }
 
-    /// The same if work follows its target's speed: it is slow for as long as a speed lasts.
-    pub(crate) fn time_if_followed(&self, work_ms: f32, slowdown: f32) -> f32 {
-        let lasting_ms = self.mean_duration_ms();
-        if slowdown <= 1.0 || work_ms * slowdown <= lasting_ms {
+    /// Expected duration in milliseconds if work runs at the current speed of its target. The slowdown lasts for the
+    /// mean duration of a speed.
+    pub(crate) fn time_at_current_speed(&self, work_ms: f32, slowdown: f32) -> f32 {
+        let mean_duration_ms = self.mean_duration_ms();
+        if slowdown <= 1.0 || work_ms * slowdown <= mean_duration_ms {
             return work_ms * slowdown.max(1.0);
         }
-        lasting_ms + (work_ms - lasting_ms / slowdown)
+        mean_duration_ms + (work_ms - mean_duration_ms / slowdown)
     }
 
-    /// Time for which `work_ms`, begun at a target that is slow by `slowdown`, is expected to hold a slot
-    /// after the target has turned fast again, as a share of the work. That time is taken from requests
-    /// that could be served in time; what is done before takes nothing from anybody.
+    /// Expected time for which `work_ms` that starts at a target with this `slowdown` occupies a slot after the target
+    /// has become fast again, as a share of the work. Only that time is taken from requests that could be served in
+    /// time, because such requests don't use the target while it is slow.
     pub(crate) fn carry_over_share(&self, work_ms: f32, slowdown: f32) -> f32 {
         let slowdown = slowdown.max(1.0);
-        let followed = tail_share(self.mean_duration_ms() / slowdown, work_ms);
-        let kept = slowdown * tail_share(self.mean_duration_ms(), work_ms * slowdown);
-        self.fixed_speed.blend(followed, kept)
+        let at_current_speed = tail_share(self.mean_duration_ms() / slowdown, work_ms);
+        let at_initial_speed = slowdown * tail_share(self.mean_duration_ms(), work_ms * slowdown);
+        self.fixed_speed.blend(at_current_speed, at_initial_speed)
     }
 
-    /// How long a speed lasts on average, in milliseconds.
+    /// Mean duration of a speed, in milliseconds.
     pub(crate) fn mean_duration_ms(&self) -> f32 {
-        let lasting_ms = self.observed_ms.get() / self.changes.get();
-        lasting_ms.clamp(LASTING_MS.0, LASTING_MS.1)
+        let mean_duration_ms = self.observed_ms.get() / self.changes.get();
+        mean_duration_ms.clamp(DURATION_RANGE_MS.0, DURATION_RANGE_MS.1)
     }
 
     fn record(&self, before: f32, after: f32, gap_ms: f32) {
         self.mean.blend(after, MEAN_WEIGHT);
         if after >= CHANGE_FACTOR {
-            self.slow.blend(after, SLOW_WEIGHT);
+            self.slow.blend(after, SLOW_FACTOR_WEIGHT);
         }
-        if gap_ms > GAP_MOST_MS {
+        if gap_ms > REPORT_GAP_MAX_MS {
             return;
         }
         let has_changed = before > after * CHANGE_FACTOR || after > before * CHANGE_FACTOR;
-        if self.observed_ms.get() > MEMORY_MS {
+        if self.observed_ms.get() > OBSERVED_MAX_MS {
             self.observed_ms.update(|observed_ms| observed_ms / 2.0);
             self.changes.update(|changes| (changes / 2.0).max(1.0));
         }
@@ -177,7 +180,7 @@
     }
 }
 
-/// Share of `total_ms` that is expected to be left after a time that is drawn with the mean `first_ms`.
+/// Expected share of `total_ms` that remains after an exponentially distributed time with the mean `first_ms`.
 fn tail_share(first_ms: f32, total_ms: f32) -> f32 {
     let times = first_ms / total_ms.max(0.1);
     1.0 - times * (1.0 - (-1.0 / times).exp())
--- a/crates/pinhaven-decide/src/split.rs
+++ b/crates/pinhaven-decide/src/split.rs
@@ -1,25 +1,25 @@
-//! Dividing a route's requests among services in proportion to weights.
+//! Divides the requests of a route among services in proportion to weights.
 //!
-//! Requests are divided evenly rather than at random, so that the proportions hold over a few hundred
-//! requests of one entry and not only over many thousands.
+//! Requests are distributed by a low-discrepancy sequence rather than at random, so that the proportions hold over a
+//! few hundred requests of one entry and not only over many thousands.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// The fraction of the golden ratio, in units of 2^-64. Its multiples fill the unit interval more
-/// evenly than those of any other number.
+/// Fractional part of the golden ratio, in units of 2^-64. Its multiples fill the unit interval more evenly than
+/// those of any other number.
 const GOLDEN_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// Weights, and the position reached in the sequence.
+/// Weights and the current position in the sequence.
 #[derive(Debug)]
 pub struct Split {
-    /// The sum of the weights up to and with each part, as a share of all.
+    /// Cumulative sum of the weights up to and including each part, as a share of the total.
     bounds: Vec<f64>,
     position: AtomicU64,
 }
 
 impl Split {
-    /// A split with these weights that begins at `start`, any number.
+    /// Creates a split with these weights. The sequence begins at `start`, which may be any number.
     pub fn new(weights: impl IntoIterator<Item = f64>, start: u64) -> Self {
         let mut sum = 0.0;
         let mut bounds: Vec<f64> = weights
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The part that the next request belongs to.
+    /// Returns the index of the part that the next request belongs to.
     pub fn next_part(&self) -> usize {
         if self.bounds.len() <= 1 {
             return 0;
--- a/crates/pinhaven-decide/tests/forecast_attempts.rs
+++ b/crates/pinhaven-decide/tests/forecast_attempts.rs
@@ -1,4 +1,4 @@
-//! The forecasting policy: hedges and other added attempts.
+//! Tests the forecasting policy: hedges and other added attempts.
 
 mod common;
 
@@ -40,9 +40,9 @@
 
 #[test]
 fn a_request_is_hedged_only_while_the_budget_has_something_left() {
-    for (at_once, hedges) in [(1.0, 1), (0.0, 0)] {
+    for (burst, hedges) in [(1.0, 1), (0.0, 0)] {
         let service = service(2, 4);
-        service.set_added_at_once(at_once, 0.0);
+        service.set_added_at_once(burst, 0.0);
         report(&service, 0, 1_000, 1.0);
         report(&service, 1, 1_000, 3.0);
         let mut driven = Driven::new(&service, true, 1_001);
@@ -51,7 +51,7 @@
             report(&service, 1, time_ms, 1.0);
             driven.wait(time_ms);
         }
-        assert_eq!(driven.attempts.len(), 1 + hedges, "{at_once} at once");
+        assert_eq!(driven.attempts.len(), 1 + hedges, "burst of {burst}");
     }
 }
 
@@ -67,7 +67,7 @@
         driven.wait(time_ms);
     }
     assert_eq!(driven.attempts.len(), 1);
-    assert!(!driven.request.is_over(), "its one attempt goes on");
+    assert!(!driven.request.is_over(), "the only attempt continues");
 }
 
 #[test]
@@ -94,8 +94,8 @@
     assert_ne!(driven.target(2), first);
 }
 
-/// Added attempts of all entries together stay within the share of the requests and what all may send
-/// at once, in any window, however the requests are spread over them.
+/// The added attempts of all entries together stay within the share of the requests plus the bursts of all entries,
+/// in any window and for any distribution of the requests over the entries.
 #[test]
 fn added_attempts_of_all_entries_stay_within_what_they_share() {
     fn stays_within(requests: Vec<u8>) -> bool {
@@ -143,12 +143,12 @@
             outcome,
         },
     );
-    assert_eq!(driven.attempts.len(), 2, "it is tried again");
+    assert_eq!(driven.attempts.len(), 2, "the request is retried");
     driven.wait(101_000);
     assert_eq!(driven.attempts.len(), 2);
 }
 
-/// A calm moment: a target turns slow about when a request begins there, another one is idle and fast.
+/// At low load, a target becomes slow about when a request starts there, while another target is idle and fast.
 #[test]
 fn a_request_that_may_have_begun_at_a_slow_target_is_hedged_while_that_can_be_in_time() {
     for (slowdown, attempts) in [(5.0, 2), (1.0, 1)] {
@@ -161,11 +161,15 @@
             report(&service, target, 99_990, 1.0);
         }
         let mut driven = Driven::new(&service, true, 100_000);
-        let begun_at = driven.target(0);
-        report(&service, begun_at, 100_020, slowdown);
-        report(&service, 1 - begun_at, 100_020, 1.0);
-        // Half of the aim has passed, and work that began at usual speed would mostly be done.
+        let started_at = driven.target(0);
+        report(&service, started_at, 100_020, slowdown);
+        report(&service, 1 - started_at, 100_020, 1.0);
+        // Half of the aim has passed, and work that started at usual speed would most likely be done.
         driven.wait(100_150);
-        assert_eq!(driven.attempts.len(), attempts, "said to be {slowdown}");
+        assert_eq!(
+            driven.attempts.len(),
+            attempts,
+            "reported slowdown {slowdown}"
+        );
     }
 }
--- a/crates/pinhaven-decide/tests/forecast_learning.rs
+++ b/crates/pinhaven-decide/tests/forecast_learning.rs
@@ -1,4 +1,4 @@
-//! What the forecasting policy learns: speeds, work, the cost of full targets, deadlines of first tries.
+//! Tests what the forecasting policy learns: speeds, work, the slowdown of full targets and initial deadlines.
 
 mod common;
 
@@ -21,17 +21,17 @@
 #[test]
 fn the_last_slots_stay_empty_where_a_full_target_does_less_in_all() {
     let service = service(1, 3);
-    // Requests at a full target take 1.7 times as long, and it says that it is full.
+    // Requests at a full target take 1.7 times as long, and the target reports that it is full.
     for round in 0..300 {
         let start_ms = 1_000 + round * 1_000;
         report(&service, 0, start_ms, 1.0);
-        let mut together: Vec<Driven> = (0..3)
+        let mut concurrent: Vec<Driven> = (0..3)
             .map(|_| Driven::new(&service, true, start_ms))
             .collect();
-        together.retain(|driven| !driven.attempts.is_empty());
-        let is_full = together.len() == 3;
+        concurrent.retain(|driven| !driven.attempts.is_empty());
+        let is_full = concurrent.len() == 3;
         let took_ms = if is_full { 170 } else { 100 };
-        for driven in &mut together {
+        for driven in &mut concurrent {
             report(&service, 0, start_ms + took_ms, 1.0);
             let id = driven.attempts[0].take().unwrap().id;
             let outcome = AttemptOutcome::Answered {
@@ -51,17 +51,19 @@
             );
         }
     }
-    let together: Vec<Driven> = (0..3)
+    let concurrent: Vec<Driven> = (0..3)
         .map(|_| Driven::new(&service, true, 400_000))
         .collect();
-    let sent = together.iter().filter(|driven| !driven.attempts.is_empty());
+    let sent = concurrent
+        .iter()
+        .filter(|driven| !driven.attempts.is_empty());
     assert_eq!(sent.count(), 2);
 }
 
 #[test]
 fn a_request_waits_for_its_target_to_turn_fast_where_work_keeps_its_first_speed() {
-    // A second of work takes five at the slow target if it keeps that speed, which is past its aim, and
-    // less than two if the target soon turns fast for it.
+    // One second of work takes five seconds at the slow target if it retains its initial speed, which exceeds the
+    // aim, and less than two seconds if it speeds up when the target becomes fast.
     for (took_ms, sent) in [(100, 0), (480, 1)] {
         let service = service_whose_work_took(took_ms);
         report(&service, 0, 100_000, 5.0);
@@ -81,14 +83,14 @@
         let slowdown = if (step / 4) % 2 == 0 { 1.0 } else { 7.0 };
         report(&service, 0, 1_000 + step * 50, slowdown);
     }
-    let lasting_ms = service.speed_lasts_ms();
-    assert!((150.0..250.0).contains(&lasting_ms), "{lasting_ms}");
+    let duration_ms = service.speed_lasts_ms();
+    assert!((150.0..250.0).contains(&duration_ms), "{duration_ms}");
 }
 
 #[test]
 fn targets_are_asked_for_their_speed_the_more_often_the_shorter_it_lasts() {
     let fields = json!({"policy": "forecast", "slots": 4, "typical_ms": 500});
-    let age_where_speeds_last = |rounds: u64| {
+    let report_age_for_duration = |rounds: u64| {
         let service = Arc::new(ServiceState::new(
             &service_with(1, fields.clone()),
             None,
@@ -104,35 +106,35 @@
         }
         service.report_age_wanted()
     };
-    assert_eq!(age_where_speeds_last(200), Microseconds::from_ms(90));
-    let short = age_where_speeds_last(8);
+    assert_eq!(report_age_for_duration(200), Microseconds::from_ms(90));
+    let short = report_age_for_duration(8);
     let expected = Microseconds::from_ms(25)..Microseconds::from_ms(40);
     assert!(expected.contains(&short), "{short}");
 }
 
 #[test]
-fn how_long_a_caller_has_waited_is_told_by_its_deadline() {
+fn the_prior_wait_of_a_caller_follows_from_its_deadline() {
     let route = RouteState::new(AIM_MS);
-    let waited = |deadline_ms| route.prior_wait(Microseconds::from_ms(deadline_ms));
+    let prior_wait = |deadline_ms| route.prior_wait(Microseconds::from_ms(deadline_ms));
     for _ in 0..30 {
-        assert_eq!(waited(1_200), Microseconds::ZERO);
+        assert_eq!(prior_wait(1_200), Microseconds::ZERO);
     }
-    assert_eq!(waited(900), Microseconds::from_ms(300));
+    assert_eq!(prior_wait(900), Microseconds::from_ms(300));
     assert_eq!(
-        waited(5_000),
+        prior_wait(5_000),
         Microseconds::ZERO,
-        "a patient caller has not waited"
+        "a caller with a longer deadline has not waited before"
     );
-    // Another usual deadline is learned.
+    // Callers switch to another initial deadline.
     for _ in 0..400 {
-        waited(800);
+        prior_wait(800);
     }
-    assert_eq!(waited(700), Microseconds::from_ms(100));
+    assert_eq!(prior_wait(700), Microseconds::from_ms(100));
 }
 
 #[test]
-fn how_long_callers_have_waited_is_known_soon_where_most_come_back() {
-    // After an outage three of four requests are further tries, each with what is left of its deadline.
+fn the_prior_wait_is_learned_soon_if_most_requests_are_retries() {
+    // After an outage three of four requests are retries, each with the remaining time of its deadline.
     let route = RouteState::new(AIM_MS);
     let mut random = fastrand::Rng::with_seed(3);
     for _ in 0..10 {
@@ -141,6 +143,6 @@
         }
         route.prior_wait(Microseconds::from_ms(4_000));
     }
-    let waited = route.prior_wait(Microseconds::from_ms(2_500));
-    assert_eq!(waited, Microseconds::from_ms(1_500));
+    let prior_wait = route.prior_wait(Microseconds::from_ms(2_500));
+    assert_eq!(prior_wait, Microseconds::from_ms(1_500));
 }
--- a/crates/pinhaven-decide/tests/split.rs
+++ b/crates/pinhaven-decide/tests/split.rs
@@ -1,13 +1,13 @@
-//! Requests divided among services by weight.
+//! Tests the division of requests among services by weight.
 
 use pinhaven_decide::Split;
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 
-/// Whatever the weights and wherever it begins, each part gets its share of a few hundred requests.
+/// For any weights and any start, each part gets its share of a few hundred requests.
 #[test]
 fn a_split_keeps_its_weights_over_a_few_hundred_requests() {
-    fn keeps(weights: Vec<u8>, start: u64) -> bool {
+    fn keeps_weights(weights: Vec<u8>, start: u64) -> bool {
         let weights: Vec<f64> = weights.into_iter().take(5).map(f64::from).collect();
         let sum: f64 = weights.iter().sum();
         if sum <= 0.0 {
@@ -27,5 +27,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(24, 5))
         .tests(2_000)
-        .quickcheck(keeps as fn(Vec<u8>, u64) -> bool);
+        .quickcheck(keeps_weights as fn(Vec<u8>, u64) -> bool);
 }
