--- a/crates/pinhaven-decide/src/crashes/mod.rs
+++ b/crates/pinhaven-decide/src/crashes/mod.rs
@@ -1,22 +1,26 @@
-//! Requests that crash the targets that run them.
+//! Detects requests that crash the targets that execute them.
 //!
-//! A target that crashes has several requests under way, and at most one of them is the cause. Entries tell each other
-//! which requests were under way at which crash, each by its [`RequestPrint`](pinhaven_types::RequestPrint), and all
-//! come to the same judgement from the same evidence:
+//! When a target crashes, several requests are in flight there, and at most one of them is the cause. Entries
+//! exchange which requests were in flight at which crash, each request identified by its
+//! [`RequestFingerprint`](pinhaven_types::RequestFingerprint). All entries reach the same verdict from the same
+//! evidence:
 //!
-//! - A request is known to crash targets once three have crashed with it under way, none of which another one explains
-//!   better, and it never ran unharmed meanwhile. It is then held back: refused before any target sees it.
-//! - That ends by itself. Then one entry tries it, and if a target crashes again it is held back for four times as long.
-//! - Before that, one whose second target has crashed is not sent on to a third within the same try of its caller.
+//! - A request is harmful once three targets have crashed with it in flight, no other request explains these crashes
+//!   better, and it has not succeeded meanwhile. A harmful request is held back: refused before any target receives it.
+//! - A hold expires. One entry then tries the request, and if a target crashes again, the request is held back for
+//!   four times as long.
+//! - A request that is not yet harmful but has crashed two targets is not sent to a third target within the same
+//!   attempt of its caller.
 //!
-//! Weighed: to count each crash against all that was under way (a target of six slots has five innocent requests
-//! there, and in a service of ten targets many of them meet three crashes); to try suspects one at a time (a
-//! request that takes seconds to crash its target would make all others like it wait as long).
+//! Two simpler designs have drawbacks. Counting each crash against every request in flight would refuse innocent
+//! requests: a target of six slots holds five of them, and in a service of ten targets many of them meet three crashes.
+//! Trying suspects one at a time would delay all similar requests for as long as a harmful request takes to crash its
+//! target, which may be seconds.
 
 mod crash_count;
 mod evidence;
-mod judgement;
 mod suspects;
+mod verdict;
 
 pub(crate) use crash_count::CrashCount;
 pub use evidence::CrashedRun;
@@ -24,5 +28,5 @@
 pub use suspects::Audience;
 pub use suspects::CrashSuspects;
 pub use suspects::HeldRequest;
-pub use suspects::Permit;
-pub use suspects::TryTurn;
+pub use suspects::SendDecision;
+pub use suspects::TrialTurn;
--- a/crates/pinhaven-decide/src/request_forecast.rs
+++ b/crates/pinhaven-decide/src/request_forecast.rs
@@ -12,7 +12,7 @@
 use crate::event::AttemptId;
 use crate::forecast;
 use crate::forecast::Forecast;
-use crate::forecast::Lane;
+use crate::forecast::TargetFilter;
 use crate::progress::Progress;
 use crate::refusal::RefusalReason;
 use crate::report::LoadReport;
@@ -62,7 +62,7 @@
         if let Some(reason) = self.unavailable_until(self.wait_until()) {
             return self.refuse(reason);
         }
-        if let Some(earliest) = self.earliest(Lane::Any)
+        if let Some(earliest) = self.earliest(TargetFilter::Any)
             && self.is_acceptable(&earliest)
             && self.has_precedence()
         {
@@ -75,7 +75,7 @@
             return self.begin_wait();
         }
         match self
-            .earliest(Lane::Spare)
+            .earliest(TargetFilter::Spare)
             .filter(|spare| self.meets_deadline(spare))
         {
             // A slot for a late answer is free, but a slot that meets the aim may still become free.
@@ -103,7 +103,7 @@
         self.schedule_check(FIRST_CHECK_SHARE);
     }
 
-    pub(crate) fn earliest(&mut self, lane: Lane) -> Option<Forecast> {
+    pub(crate) fn earliest(&mut self, lane: TargetFilter) -> Option<Forecast> {
         let work_ms = self.work_ms();
         let tried = &self.request.tried;
         forecast::earliest(self.service, self.now, self.random, work_ms, tried, lane)
@@ -200,7 +200,7 @@
     fn hedge_by_chance(&mut self) -> Option<Forecast> {
         let speed = &self.service.speed;
         let route = self.request.route.as_ref()?;
-        if !speed.kept.is_likely() {
+        if !speed.fixed_speed.is_likely() {
             return None;
         }
         let (work, left_ms) = (
@@ -221,7 +221,7 @@
         if miss_chance <= gain_min {
             return None;
         }
-        let earliest = self.earliest(Lane::Any)?;
+        let earliest = self.earliest(TargetFilter::Any)?;
         let slowdown = earliest.slowdown;
         let hedge_miss_chance =
             work.miss_chance(0.0, left_ms - ROUND_TRIP_MS, slowdown, &self.service.speed);
@@ -236,7 +236,7 @@
         if left_ms <= time_to_aim_ms {
             return None;
         }
-        let earliest = self.earliest(Lane::Any)?;
+        let earliest = self.earliest(TargetFilter::Any)?;
         let gain_ms = left_ms - earliest.answer_ms;
         let meets_aim = earliest.answer_ms <= time_to_aim_ms;
         let is_worth_it = meets_aim || earliest.answer_ms * LATE_HEDGE_FACTOR < left_ms;
@@ -269,10 +269,13 @@
         };
         progress.advance(now, &sent.target, &service.speed);
         if !progress.is_crowded {
-            service.speed.kept.record(route.work_ms(), progress.done());
+            service
+                .speed
+                .fixed_speed
+                .record(route.work_ms(), progress.done());
         }
         let is_crowded = forecast::is_nearly_full(&sent.target, report.running as f32);
-        let Some(work_ms) = progress.work_told_ms(&service.speed, is_crowded) else {
+        let Some(work_ms) = progress.observed_work_ms(&service.speed, is_crowded) else {
             return;
         };
         if progress.is_crowded {
