--- a/crates/pinhaven-decide/src/lib.rs
+++ b/crates/pinhaven-decide/src/lib.rs
@@ -48,19 +48,20 @@
 //! ```
 
 mod admission;
+mod advertised;
 mod atomic;
+mod availability;
 mod budget;
 mod choice;
 mod crashes;
 mod event;
 mod forecast;
-mod gone_orders;
 mod health;
 mod hedge;
 mod in_time;
 mod kept_speed;
+mod lapsed_orders;
 mod measuring;
-mod opening;
 mod orders;
 mod progress;
 mod recent_runs;
@@ -75,10 +76,11 @@
 mod speed;
 mod split;
 mod target;
-mod told;
 mod usual_deadline;
 mod waiting;
 
+pub use advertised::TargetFacts;
+pub use advertised::ToldTargets;
 pub use budget::TokenBudget;
 pub use crashes::Audience;
 pub use crashes::CrashSuspects;
@@ -114,6 +116,4 @@
 pub use split::Split;
 pub use target::TargetState;
 pub use target::TargetView;
-pub use told::TargetFacts;
-pub use told::ToldTargets;
 pub use waiting::PRIORITY_COUNT;
--- a/crates/pinhaven-decide/src/request.rs
+++ b/crates/pinhaven-decide/src/request.rs
@@ -8,6 +8,7 @@
 //! - Added attempts are paid for from budgets, and from what the caller left of its own.
 //! - A request that is given up on is refused in the same step, never later.
 
+use crate::availability::Opening;
 use crate::choice::Choice;
 use crate::choice::Wanted;
 use crate::choice::choose;
@@ -17,7 +18,6 @@
 use crate::event::ChoiceFacts;
 use crate::event::Event;
 use crate::event::Step;
-use crate::opening::Opening;
 use crate::progress::Progress;
 use crate::refusal::RefusalReason;
 use crate::refusal::RunState;
--- a/crates/pinhaven-decide/src/request_end.rs
+++ b/crates/pinhaven-decide/src/request_end.rs
@@ -1,10 +1,10 @@
 //! How a request's attempts end, and what follows: another attempt, the answer, or a refusal.
 
+use crate::availability::Opening;
 use crate::event::Action;
 use crate::event::AttemptId;
 use crate::event::AttemptOutcome;
 use crate::forecast::Lane;
-use crate::opening::Opening;
 use crate::refusal::Refusal;
 use crate::refusal::RefusalReason;
 use crate::refusal::RunState;
--- a/crates/pinhaven-decide/src/service.rs
+++ b/crates/pinhaven-decide/src/service.rs
@@ -3,11 +3,11 @@
 use crate::admission::InFlightLimit;
 use crate::atomic::AtomicF32;
 use crate::atomic::LearnedMedian;
+use crate::availability::Returns;
 use crate::budget::TokenBudget;
-use crate::gone_orders::GoneOrders;
 use crate::health;
 use crate::hedge::HedgeDelay;
-use crate::opening::Returns;
+use crate::lapsed_orders::GoneOrders;
 use crate::recent_runs::RecentRuns;
 use crate::report::LoadReport;
 use crate::service_targets::Earlier;
--- a/crates/pinhaven-decide/src/service_targets.rs
+++ b/crates/pinhaven-decide/src/service_targets.rs
@@ -1,6 +1,6 @@
 //! The targets of a new version of a service: who is known from before, and what of it still holds.
 
-use crate::gone_orders::GoneOrders;
+use crate::lapsed_orders::GoneOrders;
 use crate::recent_runs::RecentRuns;
 use crate::service::ServiceState;
 use crate::target::TargetState;
--- a/crates/pinhaven-decide/src/target.rs
+++ b/crates/pinhaven-decide/src/target.rs
@@ -4,7 +4,7 @@
 //! the last report and fading towards the service's mean as it ages; and how long the own requests
 //! have been under way, which shows a sudden slowness before any reply does.
 
-mod closing;
+mod eligibility;
 
 use crate::atomic::AtomicF32;
 use crate::crashes::CrashCount;
