--- a/crates/pinhaven-decide/src/advertised.rs
+++ b/crates/pinhaven-decide/src/advertised.rs
@@ -9,7 +9,7 @@
 
 /// How long a count that changed is told again in whole rounds, though it is none any more; two such
 /// rounds fit in.
-const TOLD_AGAIN_FOR: Microseconds = Microseconds::from_ms(1_100);
+const REPEAT_PERIOD: Microseconds = Microseconds::from_ms(1_100);
 
 /// What is known of a target here.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Told {
-    facts: TargetFacts,
+    state: TargetFacts,
     changed_at: Microseconds,
 }
 
@@ -35,30 +35,30 @@
     pub fn is_worth_telling(
         &mut self,
         target: u32,
-        facts: TargetFacts,
+        state: TargetFacts,
         is_whole: bool,
         now: Microseconds,
     ) -> bool {
-        let told = self.0.entry(target).or_default();
-        let is_report_new = self::is_report_new(&told.facts, &facts);
-        let has_changed = told.facts.in_flight != facts.in_flight;
+        let advertised = self.0.entry(target).or_default();
+        let is_report_new = self::is_report_new(&advertised.state, &state);
+        let has_changed = advertised.state.in_flight != state.in_flight;
         if has_changed {
-            told.changed_at = now;
+            advertised.changed_at = now;
         }
-        told.facts = facts;
-        let is_recent = now.saturating_sub(told.changed_at) < TOLD_AGAIN_FOR;
-        is_report_new || has_changed || (is_whole && (facts.in_flight > 0 || is_recent))
+        advertised.state = state;
+        let is_recent = now.saturating_sub(advertised.changed_at) < REPEAT_PERIOD;
+        is_report_new || has_changed || (is_whole && (state.in_flight > 0 || is_recent))
     }
 
     /// Whether a report that is known now was not told yet.
-    pub fn is_report_new(&self, target: u32, facts: &TargetFacts) -> bool {
-        let told = self.0.get(&target);
-        is_report_new(&told.copied().unwrap_or_default().facts, facts)
+    pub fn is_report_new(&self, target: u32, state: &TargetFacts) -> bool {
+        let advertised = self.0.get(&target);
+        is_report_new(&advertised.copied().unwrap_or_default().state, state)
     }
 
     /// Forgets all targets but those that are still there.
-    pub fn keep(&mut self, is_there: impl Fn(u32) -> bool) {
-        self.0.retain(|target, _| is_there(*target));
+    pub fn keep(&mut self, is_known: impl Fn(u32) -> bool) {
+        self.0.retain(|target, _| is_known(*target));
     }
 
     /// How many targets something was told of.
@@ -72,6 +72,6 @@
     }
 }
 
-fn is_report_new(told: &TargetFacts, known: &TargetFacts) -> bool {
-    known.report_at > told.report_at
+fn is_report_new(advertised: &TargetFacts, current: &TargetFacts) -> bool {
+    current.report_at > advertised.report_at
 }
--- a/crates/pinhaven-decide/src/availability.rs
+++ b/crates/pinhaven-decide/src/availability.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::Ordering;
 
 /// The longest time over which callers come back after a rest, in milliseconds.
-const RETURNS_MOST_MS: f32 = 60_000.0;
+const STAGGER_MAX_MS: f32 = 60_000.0;
 
 /// When any target of a service takes requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -28,18 +28,18 @@
 #[derive(Debug, Default)]
 pub(crate) struct Returns {
     rest_ends_us: AtomicU64,
-    told: AtomicU32,
+    refused: AtomicU32,
 }
 
 impl Returns {
     /// How many callers were told of this end before.
-    fn count_in(&self, rest_ends: Microseconds) -> u32 {
-        let before = self.rest_ends_us.swap(rest_ends.count(), Ordering::Relaxed);
-        if before != rest_ends.count() {
+    fn count_refusal(&self, rest_ends: Microseconds) -> u32 {
+        let previous_end_us = self.rest_ends_us.swap(rest_ends.count(), Ordering::Relaxed);
+        if previous_end_us != rest_ends.count() {
             // Callers that are told at the same time may get the same turn.
-            self.told.store(0, Ordering::Relaxed);
+            self.refused.store(0, Ordering::Relaxed);
         }
-        self.told.fetch_add(1, Ordering::Relaxed)
+        self.refused.fetch_add(1, Ordering::Relaxed)
     }
 }
 
@@ -55,7 +55,7 @@
                 return Opening::Now;
             };
             opening = match opening {
-                Opening::At(first) => Opening::At(first.min(until)),
+                Opening::At(earliest) => Opening::At(earliest.min(until)),
                 _ => Opening::At(until),
             };
         }
@@ -64,10 +64,10 @@
 
     /// When the next caller should come back to targets that rest until `rest_ends`, in milliseconds.
     pub(crate) fn return_after_ms(&self, now: Microseconds, rest_ends: Microseconds) -> u64 {
-        let before = self.returns.count_in(rest_ends);
-        let turn_ms = self.typical_ms() / self.in_flight_limit();
-        let spread_ms = (before as f32 * turn_ms).min(RETURNS_MOST_MS);
+        let refused_before = self.returns.count_refusal(rest_ends);
+        let interval_ms = self.typical_ms() / self.in_flight_limit();
+        let stagger_ms = (refused_before as f32 * interval_ms).min(STAGGER_MAX_MS);
         let rest_us = rest_ends.saturating_sub(now).count();
-        rest_us.div_ceil(1_000) + spread_ms as u64
+        rest_us.div_ceil(1_000) + stagger_ms as u64
     }
 }
--- a/crates/pinhaven-decide/src/health.rs
+++ b/crates/pinhaven-decide/src/health.rs
@@ -12,7 +12,7 @@
 /// Failures in a row that eject a target.
 const FAILURES_TO_EJECT: u32 = 3;
 /// Time of the first ejection.
-const EJECTION_FIRST: Microseconds = Microseconds::from_ms(500);
+const EJECTION_INITIAL: Microseconds = Microseconds::from_ms(500);
 /// Doublings after which ejections get no longer.
 const EJECTION_DOUBLINGS_MAX: u32 = 6;
 /// The most targets that may be ejected at a time, as a share of all.
@@ -48,18 +48,18 @@
         return false;
     }
     let targets = service.targets();
-    let out = targets
+    let excluded = targets
         .iter()
         .filter(|other| other.is_ejected(now) || other.is_closed(now))
         .count();
-    if (out + 1) as f32 > targets.len() as f32 * EJECTED_SHARE_MAX {
+    if (excluded + 1) as f32 > targets.len() as f32 * EJECTED_SHARE_MAX {
         return false;
     }
     let doublings = target
         .ejections
         .fetch_add(1, Ordering::Relaxed)
         .min(EJECTION_DOUBLINGS_MAX);
-    let until = now.plus(Microseconds::new(EJECTION_FIRST.count() << doublings));
+    let until = now.plus(Microseconds::new(EJECTION_INITIAL.count() << doublings));
     target
         .ejected_until_us
         .store(until.count(), Ordering::Relaxed);
--- a/crates/pinhaven-decide/src/measuring.rs
+++ b/crates/pinhaven-decide/src/measuring.rs
@@ -13,7 +13,7 @@
 use std::collections::VecDeque;
 
 /// Probes of a window that are kept back for a change of holders.
-const PROBES_KEPT_BACK: u64 = 2;
+const PROBES_RESERVED: u64 = 2;
 
 /// When one target may be probed next.
 #[derive(Debug, Clone)]
@@ -34,7 +34,7 @@
         let allowed_us = share * f64::from(service.slots) * window.count() as f64;
         let cost = Microseconds::from_ms(service.probe_cost_ms + service.connection_cost_ms);
         let probes = allowed_us as u64 / cost.count().max(1);
-        let planned = probes.saturating_sub(PROBES_KEPT_BACK);
+        let planned = probes.saturating_sub(PROBES_RESERVED);
         let spacing = window.count().checked_div(planned).map(Microseconds::new);
         Self {
             window,
@@ -70,15 +70,16 @@
             return false;
         }
         self.next_at = now.plus(spacing);
-        self.forget_before(now);
+        self.remove_spent_before(now);
         let after = self.spent_in_window().plus(self.cost);
-        let holds = require_promise(Promise::MeasuringBudget, after <= self.allowed, || {
-            format!("{after} of {} would be spent", self.allowed)
-        });
-        if holds {
+        let is_within_budget =
+            require_promise(Promise::MeasuringBudget, after <= self.allowed, || {
+                format!("{after} of {} would be spent", self.allowed)
+            });
+        if is_within_budget {
             self.spent.push_back((now, self.cost));
         }
-        holds
+        is_within_budget
     }
 
     /// Takes in that the last probe held the target for `time`. One that took longer than was
@@ -104,7 +105,7 @@
         Microseconds::new(self.spent.iter().map(|(_, cost)| cost.count()).sum())
     }
 
-    fn forget_before(&mut self, now: Microseconds) {
+    fn remove_spent_before(&mut self, now: Microseconds) {
         let from = now.saturating_sub(self.window);
         while self.spent.front().is_some_and(|(at, _)| *at <= from) {
             self.spent.pop_front();
@@ -113,7 +114,7 @@
 }
 
 /// Entries that may probe one target at the same time while they disagree on whose turn it is.
-const PROBERS_MOST: u64 = 3;
+const PROBERS_MAX: u64 = 3;
 
 /// When one entry may probe one target again, where any of several entries may.
 ///
@@ -128,9 +129,9 @@
 
 impl ProbePace {
     /// The pace where all entries together may send `per_second_most`; 0 for none.
-    pub fn new(per_second_most: u32) -> Self {
+    pub fn new(per_second_max: u32) -> Self {
         let second_us: u64 = 1_000_000;
-        let spacing_us = (second_us * PROBERS_MOST).checked_div(u64::from(per_second_most));
+        let spacing_us = (second_us * PROBERS_MAX).checked_div(u64::from(per_second_max));
         Self {
             spacing: spacing_us.map(Microseconds::new),
             last_at: None,
@@ -146,15 +147,15 @@
         if since.is_some_and(|since| since < spacing) {
             return false;
         }
-        let holds = require_promise(
+        let is_within_budget = require_promise(
             Promise::MeasuringBudget,
             self.last_at
                 .is_none_or(|last_at| last_at.plus(spacing) <= now),
             || format!("a probe would follow the last after {since:?}"),
         );
-        if holds {
+        if is_within_budget {
             self.last_at = Some(now);
         }
-        holds
+        is_within_budget
     }
 }
--- a/crates/pinhaven-decide/src/orders.rs
+++ b/crates/pinhaven-decide/src/orders.rs
@@ -73,24 +73,26 @@
     pub(crate) fn take(&self, orders: &AnswerOrders, now: Microseconds) -> OrderNews {
         OrderNews {
             leaves: orders.leaves && !self.leaves.swap(true, Ordering::Relaxed),
-            rests_until: orders.rest.and_then(|rest| self.rest_until(now.plus(rest))),
+            rests_until: orders
+                .rest
+                .and_then(|rest| self.extend_rest(now.plus(rest))),
         }
     }
 
     /// Until when nothing may be sent.
     pub(crate) fn closed_until(&self) -> ClosedUntil {
         match self.leaves.load(Ordering::Relaxed) {
-            true => ClosedUntil::FOR_GOOD,
+            true => ClosedUntil::PERMANENT,
             false => ClosedUntil(self.rests_until_us.load(Ordering::Relaxed)),
         }
     }
 
     /// Returns the end of the rest if that was not known to be as late.
-    fn rest_until(&self, until: Microseconds) -> Option<Microseconds> {
-        let before = self
+    fn extend_rest(&self, until: Microseconds) -> Option<Microseconds> {
+        let previous_us = self
             .rests_until_us
             .fetch_max(until.count(), Ordering::Relaxed);
-        (before < until.count()).then_some(until)
+        (previous_us < until.count()).then_some(until)
     }
 }
 
@@ -100,17 +102,17 @@
 
 impl ClosedUntil {
     /// That of a target that leaves.
-    const FOR_GOOD: Self = Self(u64::MAX);
+    const PERMANENT: Self = Self(u64::MAX);
 
     /// Whether the target leaves.
-    pub(crate) fn is_for_good(self) -> bool {
-        self == Self::FOR_GOOD
+    pub(crate) fn is_permanent(self) -> bool {
+        self == Self::PERMANENT
     }
 
     /// The end of a rest, if that is not over at `now`.
     pub(crate) fn rest(self, now: Microseconds) -> Option<Microseconds> {
-        let is_rest = !self.is_for_good() && self.0 > now.count();
-        is_rest.then_some(Microseconds::new(self.0))
+        let is_resting = !self.is_permanent() && self.0 > now.count();
+        is_resting.then_some(Microseconds::new(self.0))
     }
 
     /// Whether nothing may be sent at `now`.
--- a/crates/pinhaven-decide/src/recent_runs.rs
+++ b/crates/pinhaven-decide/src/recent_runs.rs
@@ -12,12 +12,12 @@
 use std::sync::Arc;
 
 /// How long a run is remembered after it was gone. Who starts again after longer is taken for new.
-const REMEMBERED_FOR: Microseconds = Microseconds::from_ms(60_000);
+const RETENTION: Microseconds = Microseconds::from_ms(60_000);
 
 #[derive(Debug, Clone, Copy)]
 struct RecentRun {
     incarnation: TargetIncarnation,
-    gone_at: Microseconds,
+    last_seen_at: Microseconds,
 }
 
 /// The last run of each target that tells its start.
@@ -29,14 +29,14 @@
     pub(crate) fn at_end(&self, targets: &[Arc<TargetState>], now: Microseconds) -> Self {
         let mut runs = self.clone();
         runs.0
-            .retain(|_, run| now.saturating_sub(run.gone_at) < REMEMBERED_FOR);
+            .retain(|_, run| now.saturating_sub(run.last_seen_at) < RETENTION);
         for target in targets {
             let (Some(id), Some(incarnation)) = (target.id(), target.incarnation()) else {
                 continue;
             };
             let run = RecentRun {
                 incarnation,
-                gone_at: now,
+                last_seen_at: now,
             };
             runs.0.insert(id.clone(), run);
         }
--- a/crates/pinhaven-decide/src/service.rs
+++ b/crates/pinhaven-decide/src/service.rs
@@ -7,11 +7,11 @@
 use crate::budget::TokenBudget;
 use crate::health;
 use crate::hedge::HedgeDelay;
-use crate::lapsed_orders::GoneOrders;
+use crate::lapsed_orders::LapsedOrders;
 use crate::recent_runs::RecentRuns;
 use crate::report::LoadReport;
-use crate::service_targets::Earlier;
-use crate::service_targets::targets_of;
+use crate::service_targets::PreviousTargets;
+use crate::service_targets::build_targets;
 use crate::speed::ServiceSpeed;
 use crate::target::TargetState;
 use crate::waiting::Waiting;
@@ -35,36 +35,36 @@
 /// Weight of one answer in the service's typical time.
 const TYPICAL_WEIGHT: f32 = 0.01;
 /// How many times longer work is thought to take at a nearly full target before it was measured.
-const CROWDING_FIRST: f32 = 1.2;
+const CROWDING_INITIAL: f32 = 1.2;
 /// How sure that is, in samples.
-const CROWDING_FIRST_SAMPLES: u32 = 4;
+const CROWDING_INITIAL_SAMPLES: u32 = 4;
 /// Time since this entry knows the service during which the last slots of targets are left empty whatever is
 /// thought of them. After an outage of all entries six of ten requests of the first second were begun at
 /// nearly full targets, where work took 1.7 times as long. Credit of the two seconds after the outage: 0.879
 /// to 0.894 (15 runs without processor time).
-const CROWDING_CAUTION: Microseconds = Microseconds::from_ms(1_000);
+const CROWDING_CAUTION_PERIOD: Microseconds = Microseconds::from_ms(1_000);
 /// What they are thought to cost then.
-const CROWDING_CAUTIOUS: f32 = 1.6;
+const CROWDING_CAUTION_MIN: f32 = 1.6;
 /// Age of a report at which a target should be asked for its speed, as a share of the typical time of
 /// requests. A choice is wrong when the speed has changed since the report, or changes while the request
 /// works; asking much more often than that would mend the smaller of the two.
-const REPORT_AGE_TYPICAL: f32 = 0.6;
+const REPORT_AGE_TYPICAL_SHARE: f32 = 0.6;
 /// The same as a share of the time that a speed lasts: requests that begin at a target which has turned slow
 /// since are late where work keeps its speed. Where a speed lasts 0.4 s, answers within the aim rise from
 /// 0.945 to 0.958 of the requests of a calm day, for 0.6 times more probes.
-const REPORT_AGE_LASTS: f32 = 0.08;
+const REPORT_AGE_DURATION_SHARE: f32 = 0.08;
 /// The least and the most of that age, in milliseconds.
-const REPORT_AGE_MS: (f32, f32) = (20.0, 90.0);
+const REPORT_AGE_RANGE_MS: (f32, f32) = (20.0, 90.0);
 /// Slowdown from which a target counts as slow in a summary.
-const SLOW_FROM: f32 = 2.0;
+const SLOW_SLOWDOWN_MIN: f32 = 2.0;
 /// Weight of one report in the mean load of the others.
-const OTHERS_WEIGHT: f32 = 0.02;
+const PEER_LOAD_WEIGHT: f32 = 0.02;
 /// Weight of one request in the share that is refused.
 const REFUSED_WEIGHT: f32 = 0.02;
 /// The shortest time that a refused caller is sent away for, in milliseconds.
-const RETRY_AFTER_LEAST_MS: f32 = 100.0;
+const RETRY_AFTER_MIN_MS: f32 = 100.0;
 /// The longest, in milliseconds.
-const RETRY_AFTER_MOST_MS: f32 = 60_000.0;
+const RETRY_AFTER_MAX_MS: f32 = 60_000.0;
 
 /// A service as one entry sees it.
 #[derive(Debug)]
@@ -80,12 +80,12 @@
     owned: ArcSwap<Vec<Arc<TargetState>>>,
     listed: Vec<BundledTargetState>,
     recent_runs: RecentRuns,
-    gone_orders: GoneOrders,
+    lapsed_orders: LapsedOrders,
     in_flight: AtomicU32,
     pub(crate) waiting: Waiting,
     pub(crate) speed: ServiceSpeed,
     pub(crate) crowding: LearnedMedian,
-    known_since: Microseconds,
+    first_seen_at: Microseconds,
     typical_ms: AtomicF32,
     mean_others: AtomicF32,
     refused_share: AtomicF32,
@@ -137,19 +137,19 @@
         let recent_runs = previous
             .map(|previous| previous.recent_runs.at_end(&previous.targets, now))
             .unwrap_or_default();
-        let gone_orders = previous
-            .map(|previous| previous.gone_orders.at_end(&previous.targets, now))
+        let lapsed_orders = previous
+            .map(|previous| previous.lapsed_orders.at_end(&previous.targets, now))
             .unwrap_or_default();
-        let earlier = Earlier {
+        let previous_targets = PreviousTargets {
             previous,
             recent_runs: &recent_runs,
-            gone_orders: &gone_orders,
+            lapsed_orders: &lapsed_orders,
         };
-        let targets = targets_of(service, &earlier, now);
+        let targets = build_targets(service, &previous_targets, now);
         let connections_per_target = (service.connections / service.entries_most).max(1);
         let entries = service.entries_named.min(service.entries_most) as f32;
         let capacity = targets.len() as f32 * service.slots as f32;
-        let most = targets.len() as f32 * connections_per_target as f32;
+        let limit_max = targets.len() as f32 * connections_per_target as f32;
         let state = Self {
             name: service.name.clone(),
             policy: service.policy,
@@ -161,17 +161,17 @@
             owned: ArcSwap::default(),
             listed: service.targets.iter().map(|target| target.state).collect(),
             recent_runs,
-            gone_orders,
+            lapsed_orders,
             in_flight: AtomicU32::new(0),
             waiting: Waiting::new(),
             speed: ServiceSpeed::new(),
-            crowding: LearnedMedian::new(CROWDING_FIRST, CROWDING_FIRST_SAMPLES),
-            known_since: previous.map_or(now, |previous| previous.known_since),
+            crowding: LearnedMedian::new(CROWDING_INITIAL, CROWDING_INITIAL_SAMPLES),
+            first_seen_at: previous.map_or(now, |previous| previous.first_seen_at),
             typical_ms: AtomicF32::new(typical_ms),
             mean_others: AtomicF32::new(0.0),
             refused_share: AtomicF32::new(0.0),
             returns: Returns::default(),
-            limit: InFlightLimit::new(capacity / entries, most),
+            limit: InFlightLimit::new(capacity / entries, limit_max),
             hedge_delay: HedgeDelay::new(
                 service.hedge_budget_percent.fraction(),
                 typical_ms,
@@ -193,7 +193,7 @@
         };
         if let Some(previous) = previous {
             state.take_over(previous);
-            state.end_missing(previous);
+            state.mark_missing_leaving(previous);
         }
         state.find_owned();
         state
@@ -212,10 +212,10 @@
 
     /// Marks targets that are gone as leaving: requests that began with `previous` choose among its
     /// targets until they end.
-    fn end_missing(&self, previous: &Self) {
-        let kept: HashSet<*const TargetState> = self.targets.iter().map(Arc::as_ptr).collect();
-        let is_gone = |target: &&Arc<TargetState>| !kept.contains(&Arc::as_ptr(target));
-        for target in previous.targets.iter().filter(is_gone) {
+    fn mark_missing_leaving(&self, previous: &Self) {
+        let retained: HashSet<*const TargetState> = self.targets.iter().map(Arc::as_ptr).collect();
+        let is_missing = |target: &&Arc<TargetState>| !retained.contains(&Arc::as_ptr(target));
+        for target in previous.targets.iter().filter(is_missing) {
             target.leave();
         }
     }
@@ -295,8 +295,8 @@
 
     /// Takes in a load report that came by another way than a reply: a probe or another entry.
     pub fn record_report(&self, target: &TargetState, now: Microseconds, report: &LoadReport) {
-        let others = target.record_report(now, report);
-        self.mean_others.blend(others, OTHERS_WEIGHT);
+        let peer_load = target.record_report(now, report);
+        self.mean_others.blend(peer_load, PEER_LOAD_WEIGHT);
         if let Some(slowdown) = report.slowdown {
             target.record_own_speed(now, slowdown, &self.speed);
         }
@@ -317,7 +317,7 @@
             summary.leaving += u32::from(target.is_leaving());
             summary.resting += u32::from(target.rests_until(now).is_some());
             summary.ejected += u32::from(target.is_ejected(now));
-            summary.slow += u32::from(slowdown >= SLOW_FROM);
+            summary.slow += u32::from(slowdown >= SLOW_SLOWDOWN_MIN);
             summary.full += u32::from(held as f32 >= target.slots());
         }
         summary
@@ -340,9 +340,9 @@
 
     /// The age of a report at which a target should be asked for its speed.
     pub fn report_age_wanted(&self) -> Microseconds {
-        let age_ms = (self.typical_ms() * REPORT_AGE_TYPICAL)
-            .min(self.speed_lasts_ms() * REPORT_AGE_LASTS)
-            .clamp(REPORT_AGE_MS.0, REPORT_AGE_MS.1);
+        let age_ms = (self.typical_ms() * REPORT_AGE_TYPICAL_SHARE)
+            .min(self.speed_lasts_ms() * REPORT_AGE_DURATION_SHARE)
+            .clamp(REPORT_AGE_RANGE_MS.0, REPORT_AGE_RANGE_MS.1);
         Microseconds::new((age_ms * 1_000.0) as u64)
     }
 
@@ -373,8 +373,8 @@
     /// fill one.
     pub(crate) fn crowding_to_fill(&self, now: Microseconds) -> f32 {
         let learned = self.crowding.get();
-        if now.saturating_sub(self.known_since) < CROWDING_CAUTION {
-            return learned.max(CROWDING_CAUTIOUS);
+        if now.saturating_sub(self.first_seen_at) < CROWDING_CAUTION_PERIOD {
+            return learned.max(CROWDING_CAUTION_MIN);
         }
         learned
     }
@@ -470,8 +470,8 @@
         let backlog = self.waiting() as f32 + self.in_flight() as f32;
         let drain_ms = backlog * self.typical_ms() / self.limit.get();
         let accepted_share = (1.0 - self.refused_share.get()).max(0.02);
-        let least_ms = (drain_ms / accepted_share).max(RETRY_AFTER_LEAST_MS);
-        let spread_ms = least_ms * (1.0 + random.f32());
-        spread_ms.min(RETRY_AFTER_MOST_MS) as u64
+        let min_ms = (drain_ms / accepted_share).max(RETRY_AFTER_MIN_MS);
+        let spread_ms = min_ms * (1.0 + random.f32());
+        spread_ms.min(RETRY_AFTER_MAX_MS) as u64
     }
 }
--- a/crates/pinhaven-decide/src/target.rs
+++ b/crates/pinhaven-decide/src/target.rs
@@ -30,19 +30,19 @@
 /// Weight of a new latency in a target's short memory.
 const LATENCY_WEIGHT: f32 = 0.3;
 /// Age at which half of a remembered latency has faded, in milliseconds.
-const LATENCY_HALF_MS: f32 = 200.0;
+const LATENCY_HALF_LIFE_MS: f32 = 200.0;
 /// Age at which half of a failure's penalty has faded, in milliseconds.
-const PENALTY_HALF_MS: f32 = 500.0;
+const PENALTY_HALF_LIFE_MS: f32 = 500.0;
 /// Time that a cold target takes to get its full share.
 const WARM_UP: Microseconds = Microseconds::from_ms(2_000);
 /// Share that a cold target begins with.
 const WARM_SHARE_MIN: f32 = 0.1;
 /// Age up to which a report is recent, in times that a speed lasts.
-const RECENT_LASTS: f32 = 2.0;
+const RECENT_SPEED_DURATIONS: f32 = 2.0;
 /// The most of that age, in milliseconds; a service whose targets never changed may begin to.
-const RECENT_MOST_MS: f32 = 2_000.0;
+const RECENT_MAX_MS: f32 = 2_000.0;
 /// A request counts as overdue past this many typical times.
-const OVERDUE_AFTER: f32 = 2.0;
+const OVERDUE_TYPICAL_TIMES: f32 = 2.0;
 
 /// A target as one entry sees it.
 #[derive(Debug)]
@@ -53,7 +53,7 @@
     incarnation: Option<TargetIncarnation>,
     slots: f32,
     speed: ReportedSpeed,
-    own_report_at_us: AtomicU64,
+    direct_report_at_us: AtomicU64,
     peers_in_flight: AtomicU32,
     cold_until: Microseconds,
     in_flight: AtomicU32,
@@ -62,21 +62,21 @@
     reported_at_us: AtomicU64,
     latency_ms: AtomicF32,
     latency_at_us: AtomicU64,
-    heard_at_us: AtomicU64,
+    responded_at_us: AtomicU64,
     penalty: AtomicF32,
     penalty_at_us: AtomicU64,
-    warm_from_us: AtomicU64,
+    warm_up_from_us: AtomicU64,
     pub(crate) failures_in_row: AtomicU32,
     pub(crate) ejections: AtomicU32,
     pub(crate) ejected_until_us: AtomicU64,
     is_leaving: AtomicBool,
     /// Shared by all states of this run, if it is gone for a time and comes back.
     orders: Arc<OrderState>,
-    closed: KnownClosed,
+    closed_until: KnownClosed,
     is_owned: AtomicBool,
     crashes: CrashCount,
     /// Requests of this entry that it may hold.
-    in_flight_most: AtomicU32,
+    in_flight_max: AtomicU32,
 }
 
 /// What is known of a target, for people and metrics.
@@ -120,7 +120,7 @@
             incarnation: target.incarnation,
             slots: target.slots.unwrap_or(slots) as f32,
             speed: ReportedSpeed::unknown(),
-            own_report_at_us: AtomicU64::new(0),
+            direct_report_at_us: AtomicU64::new(0),
             peers_in_flight: AtomicU32::new(0),
             cold_until: now.plus(Microseconds::from_ms(target.warm_up_ms)),
             in_flight: AtomicU32::new(0),
@@ -129,26 +129,26 @@
             reported_at_us: AtomicU64::new(0),
             latency_ms: AtomicF32::new(0.0),
             latency_at_us: AtomicU64::new(0),
-            heard_at_us: AtomicU64::new(0),
+            responded_at_us: AtomicU64::new(0),
             penalty: AtomicF32::new(0.0),
             penalty_at_us: AtomicU64::new(0),
-            warm_from_us: AtomicU64::new(cold_since.map_or(0, |since| since.count().max(1))),
+            warm_up_from_us: AtomicU64::new(cold_since.map_or(0, |since| since.count().max(1))),
             failures_in_row: AtomicU32::new(0),
             ejections: AtomicU32::new(0),
             ejected_until_us: AtomicU64::new(0),
             is_leaving: AtomicBool::new(false),
             orders: Arc::default(),
-            closed: KnownClosed::new(OrderState::default().closed_until()),
+            closed_until: KnownClosed::new(OrderState::default().closed_until()),
             is_owned: AtomicBool::new(false),
             crashes: CrashCount::default(),
-            in_flight_most: AtomicU32::new(u32::MAX),
+            in_flight_max: AtomicU32::new(u32::MAX),
         }
     }
 
     /// The same for a target that has started again: it gets one request of this entry, and one more with
     /// each good answer. One that crashes time and again so takes no more than its answers earn.
     pub(crate) fn with_share_to_earn(mut self) -> Self {
-        self.in_flight_most = AtomicU32::new(1);
+        self.in_flight_max = AtomicU32::new(1);
         self
     }
 
@@ -181,9 +181,9 @@
     /// Whether it is the one that is described: the same run of the same target, as far as the description
     /// tells its start. Lists of entries of older versions leave that out, and nothing is forgotten for it.
     pub fn is_same_run(&self, described: &Target) -> bool {
-        let is_other_run =
+        let is_different_run =
             described.incarnation.is_some() && described.incarnation != self.incarnation;
-        self.id == described.id && !is_other_run
+        self.id == described.id && !is_different_run
     }
 
     /// Short key by which entries name it among themselves; `None` without an id. It covers the run, so
@@ -231,9 +231,9 @@
     /// What it last told this entry itself of its speed, and when. What other entries were told is
     /// not passed on, so that no report goes round in circles.
     pub fn own_reported_speed(&self) -> Option<(f32, Microseconds)> {
-        let own_at_us = self.own_report_at_us.load(Ordering::Relaxed);
+        let direct_at_us = self.direct_report_at_us.load(Ordering::Relaxed);
         let last = self.speed.last();
-        last.filter(|(_, at)| at.count() == own_at_us)
+        last.filter(|(_, at)| at.count() == direct_at_us)
     }
 
     /// Takes in what it told this entry of its speed at `now`.
@@ -244,7 +244,8 @@
         service: &ServiceSpeed,
     ) {
         if self.record_speed(now, slowdown, service) {
-            self.own_report_at_us.store(now.count(), Ordering::Relaxed);
+            self.direct_report_at_us
+                .store(now.count(), Ordering::Relaxed);
         }
     }
 
@@ -266,7 +267,7 @@
     /// Whether it has said so recently that its speed may well be the same.
     pub(crate) fn has_recent_report(&self, now: Microseconds, service: &ServiceSpeed) -> bool {
         let age = self.speed.last().map(|(_, at)| now.saturating_sub(at));
-        let recent_ms = (service.lasting_ms() * RECENT_LASTS).min(RECENT_MOST_MS);
+        let recent_ms = (service.lasting_ms() * RECENT_SPEED_DURATIONS).min(RECENT_MAX_MS);
         age.is_some_and(|age| age.as_ms() as f32 <= recent_ms)
     }
 
@@ -313,17 +314,18 @@
 
     /// Whether this entry may send it one more request, by what its answers have earned and by the
     /// connections that it takes.
-    fn has_place(&self, connections_most: u32) -> bool {
-        let most = self.in_flight_most.load(Ordering::Relaxed);
-        self.in_flight() < most.min(connections_most)
+    fn has_place(&self, connections_max: u32) -> bool {
+        let in_flight_max = self.in_flight_max.load(Ordering::Relaxed);
+        self.in_flight() < in_flight_max.min(connections_max)
     }
 
     /// Takes in that it answered well.
     pub(crate) fn earn(&self) {
-        let most = self.in_flight_most.load(Ordering::Relaxed);
-        if most != u32::MAX {
+        let in_flight_max = self.in_flight_max.load(Ordering::Relaxed);
+        if in_flight_max != u32::MAX {
             // Two answers at a time may count as one.
-            self.in_flight_most.store(most + 1, Ordering::Relaxed);
+            self.in_flight_max
+                .store(in_flight_max + 1, Ordering::Relaxed);
         }
     }
 
@@ -354,7 +356,7 @@
     /// Takes the time of an answer in.
     pub(crate) fn record_latency(&self, now: Microseconds, latency: Microseconds) {
         let sample = latency.as_ms() as f32;
-        let weight = if self.age_ms(&self.latency_at_us, now) > LATENCY_HALF_MS {
+        let weight = if self.age_ms(&self.latency_at_us, now) > LATENCY_HALF_LIFE_MS {
             1.0
         } else {
             LATENCY_WEIGHT
@@ -372,19 +374,19 @@
 
     /// Takes in that the target answered well.
     pub(crate) fn record_heard(&self, now: Microseconds) {
-        self.heard_at_us.store(now.count(), Ordering::Relaxed);
+        self.responded_at_us.store(now.count(), Ordering::Relaxed);
     }
 
     /// Adds to the penalty of a failing target, in requests.
     pub(crate) fn add_penalty(&self, now: Microseconds, requests: f32) {
-        let left = self.penalty_at(now);
-        self.penalty.set(left + requests);
+        let remaining = self.penalty_at(now);
+        self.penalty.set(remaining + requests);
         self.penalty_at_us.store(now.count(), Ordering::Relaxed);
     }
 
     /// Starts the target's share anew from a small one.
     pub(crate) fn cool(&self, from: Microseconds) {
-        self.warm_from_us
+        self.warm_up_from_us
             .store(from.count().max(1), Ordering::Relaxed);
     }
 
@@ -395,7 +397,7 @@
 
     /// Share of its slots that the target should be used at, from 0.1 to 1.
     pub(crate) fn warm_share(&self, now: Microseconds) -> f32 {
-        let from = self.warm_from_us.load(Ordering::Relaxed);
+        let from = self.warm_up_from_us.load(Ordering::Relaxed);
         if from == 0 {
             return 1.0;
         }
@@ -404,26 +406,30 @@
     }
 
     pub(crate) fn penalty_at(&self, now: Microseconds) -> f32 {
-        fade(
+        decay(
             self.penalty.get(),
             self.age_ms(&self.penalty_at_us, now),
-            PENALTY_HALF_MS,
+            PENALTY_HALF_LIFE_MS,
         )
     }
 
     /// Requests of others, fading from the last report to the service's mean.
-    pub(crate) fn others_at(&self, now: Microseconds, mean: f32, half_ms: f32) -> f32 {
-        let apart = self.others.get() - mean;
-        mean + fade(apart, self.age_ms(&self.reported_at_us, now), half_ms)
+    pub(crate) fn others_at(&self, now: Microseconds, mean: f32, half_life_ms: f32) -> f32 {
+        let difference = self.others.get() - mean;
+        mean + decay(
+            difference,
+            self.age_ms(&self.reported_at_us, now),
+            half_life_ms,
+        )
     }
 
     /// How much the recent latency exceeds the typical one, as a multiple of it.
     pub(crate) fn latency_excess(&self, now: Microseconds, typical_ms: f32) -> f32 {
         let excess = (self.latency_ms.get() / typical_ms - 1.0).max(0.0);
-        fade(
+        decay(
             excess,
             self.age_ms(&self.latency_at_us, now),
-            LATENCY_HALF_MS,
+            LATENCY_HALF_LIFE_MS,
         )
     }
 
@@ -438,12 +444,12 @@
         // A sum that another thread has already added to gives a negative age; it counts as none.
         let age_sum_us = now_sum.wrapping_sub(start_sum) as i64;
         let age_sum = age_sum_us.max(0) as f32 / (typical_ms * 1_000.0);
-        (age_sum - OVERDUE_AFTER * in_flight as f32).max(0.0)
+        (age_sum - OVERDUE_TYPICAL_TIMES * in_flight as f32).max(0.0)
     }
 
     /// Time since the target answered well, in milliseconds.
     pub(crate) fn silence_ms(&self, now: Microseconds) -> f32 {
-        self.age_ms(&self.heard_at_us, now)
+        self.age_ms(&self.responded_at_us, now)
     }
 
     fn age_ms(&self, at_us: &AtomicU64, now: Microseconds) -> f32 {
@@ -452,6 +458,6 @@
 }
 
 /// What is left of `value` at an age; half of it at `half_ms`.
-fn fade(value: f32, age_ms: f32, half_ms: f32) -> f32 {
-    value * half_ms / (half_ms + age_ms)
+fn decay(value: f32, age_ms: f32, half_life_ms: f32) -> f32 {
+    value * half_life_ms / (half_life_ms + age_ms)
 }
--- a/crates/pinhaven-decide/src/target/eligibility.rs
+++ b/crates/pinhaven-decide/src/target/eligibility.rs
@@ -17,7 +17,7 @@
 impl TargetState {
     /// The same for a run that was there before and has asked for something.
     pub(crate) fn with_orders(mut self, orders: Arc<OrderState>) -> Self {
-        self.closed = KnownClosed::new(orders.closed_until());
+        self.closed_until = KnownClosed::new(orders.closed_until());
         self.orders = orders;
         self
     }
@@ -30,7 +30,7 @@
     /// Whether it is leaving, by its own word or another's. Its own comes with answers, also while the store is away
     /// and no list says so.
     pub fn is_leaving(&self) -> bool {
-        self.is_leaving.load(Ordering::Relaxed) || self.closed.get().is_for_good()
+        self.is_leaving.load(Ordering::Relaxed) || self.closed_until.get().is_permanent()
     }
 
     /// Marks the target as leaving. Nothing in its life takes that back: a target that comes back is
@@ -41,18 +41,18 @@
 
     /// Takes in what it asks for with an answer that came at `now`. Returns what of it was news.
     pub fn take_orders(&self, orders: &AnswerOrders, now: Microseconds) -> OrderNews {
-        let news = self.orders.take(orders, now);
-        self.closed.set(self.orders.closed_until());
-        if news.rests_until.is_some() {
+        let changes = self.orders.take(orders, now);
+        self.closed_until.set(self.orders.closed_until());
+        if changes.rests_until.is_some() {
             // What it gets after its rest grows with its answers, so that all entries together don't press it into the next.
-            self.in_flight_most.store(1, Ordering::Relaxed);
+            self.in_flight_max.store(1, Ordering::Relaxed);
         }
-        news
+        changes
     }
 
     /// The end of the rest that it asked this entry for, if that is not over at `now`.
     pub fn rests_until(&self, now: Microseconds) -> Option<Microseconds> {
-        self.closed.get().rest(now)
+        self.closed_until.get().rest(now)
     }
 
     /// Leave to send it something at `now`.
@@ -62,25 +62,25 @@
     /// [`Closed`] when it leaves or rests.
     pub fn permit(&self, now: Microseconds) -> Result<SendPermit, Closed> {
         // What came with an answer to an earlier state of this run is seen here at the latest.
-        self.closed.set(self.orders.closed_until());
+        self.closed_until.set(self.orders.closed_until());
         SendPermit::new(self.is_leaving(), self.rests_until(now))
     }
 
     /// Whether it is known to leave or to rest at `now`.
     pub(crate) fn is_closed(&self, now: Microseconds) -> bool {
-        self.is_leaving.load(Ordering::Relaxed) || self.closed.get().is_closed(now)
+        self.is_leaving.load(Ordering::Relaxed) || self.closed_until.get().is_closed(now)
     }
 
     /// Whether a request may be sent to it at `now`, by its own word, by its failures, and by the connections that it takes.
-    pub(crate) fn may_get(&self, now: Microseconds, connections_most: u32) -> bool {
-        !self.is_closed(now) && !self.is_ejected(now) && self.has_place(connections_most)
+    pub(crate) fn may_get(&self, now: Microseconds, connections_max: u32) -> bool {
+        !self.is_closed(now) && !self.is_ejected(now) && self.has_place(connections_max)
     }
 
     /// Takes in that a request broke there and that nobody listened at `now`. Returns the run that crashed.
     pub fn record_crash(&self, now: Microseconds) -> CrashedRun {
-        let number = self.crashes.record_crash(now);
+        let crash_number = self.crashes.record_crash(now);
         let start = self.incarnation.map(|run| run.started_unix_ms());
-        CrashedRun::of(&self.name(), start.unwrap_or(number))
+        CrashedRun::of(&self.name(), start.unwrap_or(crash_number))
     }
 
     /// Takes in that a connection to it was made which began at `began`.
