--- a/crates/pinhaven-decide/src/advertised.rs
+++ b/crates/pinhaven-decide/src/advertised.rs
@@ -13,7 +13,7 @@
 
 /// What is known of a target here.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct TargetFacts {
+pub struct AdvertisedState {
     /// Requests of this entry that it holds.
     pub in_flight: u32,
     /// When it last told this entry how fast it is; zero when it never did.
@@ -21,21 +21,21 @@
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Told {
-    state: TargetFacts,
+struct Advertised {
+    state: AdvertisedState,
     changed_at: Microseconds,
 }
 
 /// What was last told of each target.
 #[derive(Debug, Default)]
-pub struct ToldTargets(HashMap<u32, Told>);
+pub struct AdvertisedTargets(HashMap<u32, Advertised>);
 
-impl ToldTargets {
+impl AdvertisedTargets {
     /// Whether what is known of a target is worth telling at `now`; it then counts as told.
-    pub fn is_worth_telling(
+    pub fn should_advertise(
         &mut self,
         target: u32,
-        state: TargetFacts,
+        state: AdvertisedState,
         is_whole: bool,
         now: Microseconds,
     ) -> bool {
@@ -51,13 +51,13 @@
     }
 
     /// Whether a report that is known now was not told yet.
-    pub fn is_report_new(&self, target: u32, state: &TargetFacts) -> bool {
+    pub fn is_report_new(&self, target: u32, state: &AdvertisedState) -> bool {
         let advertised = self.0.get(&target);
         is_report_new(&advertised.copied().unwrap_or_default().state, state)
     }
 
     /// Forgets all targets but those that are still there.
-    pub fn keep(&mut self, is_known: impl Fn(u32) -> bool) {
+    pub fn retain(&mut self, is_known: impl Fn(u32) -> bool) {
         self.0.retain(|target, _| is_known(*target));
     }
 
@@ -72,6 +72,6 @@
     }
 }
 
-fn is_report_new(advertised: &TargetFacts, current: &TargetFacts) -> bool {
+fn is_report_new(advertised: &AdvertisedState, current: &AdvertisedState) -> bool {
     current.report_at > advertised.report_at
 }
--- a/crates/pinhaven-decide/src/availability.rs
+++ b/crates/pinhaven-decide/src/availability.rs
@@ -15,7 +15,7 @@
 
 /// When any target of a service takes requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Opening {
+pub(crate) enum Availability {
     /// Now, unless it is full or failing.
     Now,
     /// When the first rest ends.
@@ -26,12 +26,12 @@
 
 /// Callers that were told to come back at the end of one rest.
 #[derive(Debug, Default)]
-pub(crate) struct Returns {
+pub(crate) struct RetryStagger {
     rest_ends_us: AtomicU64,
     refused: AtomicU32,
 }
 
-impl Returns {
+impl RetryStagger {
     /// How many callers were told of this end before.
     fn count_refusal(&self, rest_ends: Microseconds) -> u32 {
         let previous_end_us = self.rest_ends_us.swap(rest_ends.count(), Ordering::Relaxed);
@@ -45,26 +45,30 @@
 
 impl ServiceState {
     /// When any target takes requests.
-    pub(crate) fn opening(&self, now: Microseconds) -> Opening {
-        let mut opening = Opening::Unknown;
+    pub(crate) fn availability(&self, now: Microseconds) -> Availability {
+        let mut opening = Availability::Unknown;
         for target in self.targets() {
             if target.is_leaving() {
                 continue;
             }
             let Some(until) = target.rests_until(now) else {
-                return Opening::Now;
+                return Availability::Now;
             };
             opening = match opening {
-                Opening::At(earliest) => Opening::At(earliest.min(until)),
-                _ => Opening::At(until),
+                Availability::At(earliest) => Availability::At(earliest.min(until)),
+                _ => Availability::At(until),
             };
         }
         opening
     }
 
     /// When the next caller should come back to targets that rest until `rest_ends`, in milliseconds.
-    pub(crate) fn return_after_ms(&self, now: Microseconds, rest_ends: Microseconds) -> u64 {
-        let refused_before = self.returns.count_refusal(rest_ends);
+    pub(crate) fn staggered_retry_after_ms(
+        &self,
+        now: Microseconds,
+        rest_ends: Microseconds,
+    ) -> u64 {
+        let refused_before = self.retry_stagger.count_refusal(rest_ends);
         let interval_ms = self.typical_ms() / self.in_flight_limit();
         let stagger_ms = (refused_before as f32 * interval_ms).min(STAGGER_MAX_MS);
         let rest_us = rest_ends.saturating_sub(now).count();
--- a/crates/pinhaven-decide/src/choice.rs
+++ b/crates/pinhaven-decide/src/choice.rs
@@ -66,7 +66,7 @@
             .map(|_| &targets[random.usize(..targets.len())])
             .find(usable),
         Policy::RoundRobin => (0..BASELINE_TRIES)
-            .map(|_| service.turn.fetch_add(1, Ordering::Relaxed))
+            .map(|_| service.round_robin_position.fetch_add(1, Ordering::Relaxed))
             .map(|turn| &targets[turn as usize % targets.len()])
             .find(usable),
         Policy::LeastInFlight => {
@@ -85,7 +85,7 @@
         }
     };
     let target = chosen?;
-    let load = target.in_flight() as f32 + service.mean_others();
+    let load = target.in_flight() as f32 + service.mean_peer_load();
     Some(Choice {
         target: Arc::clone(target),
         load,
@@ -150,7 +150,7 @@
     now: Microseconds,
     wanted: &Wanted<'_>,
 ) -> bool {
-    target.may_get(now, service.connections_per_target())
+    target.is_eligible(now, service.connections_per_target())
         && !wanted.tried.contains(&target.address())
 }
 
@@ -163,7 +163,7 @@
 ) -> (f32, f32) {
     let typical_ms = service.typical_ms();
     let own = target.in_flight() as f32;
-    let others = target.others_at(now, service.mean_others(), typical_ms * REPORT_HALF);
+    let others = target.peer_load_at(now, service.mean_peer_load(), typical_ms * REPORT_HALF);
     let overdue = target.overdue(now, typical_ms);
     let load = own + others + target.penalty_at(now) + overdue * OVERDUE_WEIGHT;
     let mut score = (load + 1.0) / (service.slots() * target.warm_share(now));
--- a/crates/pinhaven-decide/src/forecast.rs
+++ b/crates/pinhaven-decide/src/forecast.rs
@@ -211,7 +211,7 @@
 fn usable_slots(service: &ServiceState, target: &TargetState, now: Microseconds) -> f32 {
     let slots = target.slots();
     let uncrowded = (slots * CROWDED_FROM).ceil() - 1.0;
-    let is_crowding_worth_it = slots / service.crowding_to_fill(now) > uncrowded * CROWDING_GAIN;
+    let is_crowding_worth_it = slots / service.admission_crowding(now) > uncrowded * CROWDING_GAIN;
     let usable = if is_crowding_worth_it || uncrowded < 1.0 {
         slots
     } else {
@@ -303,5 +303,5 @@
     now: Microseconds,
     tried: &[TargetAddress],
 ) -> bool {
-    target.may_get(now, service.connections_per_target()) && !tried.contains(&target.address())
+    target.is_eligible(now, service.connections_per_target()) && !tried.contains(&target.address())
 }
--- a/crates/pinhaven-decide/src/health.rs
+++ b/crates/pinhaven-decide/src/health.rs
@@ -25,16 +25,16 @@
     now: Microseconds,
 ) -> bool {
     target.add_penalty(now, service.slots());
-    let failures = target.failures_in_row.fetch_add(1, Ordering::Relaxed) + 1;
+    let failures = target.consecutive_failures.fetch_add(1, Ordering::Relaxed) + 1;
     failures >= FAILURES_TO_EJECT && eject(service, target, now)
 }
 
 /// Takes a good answer of a target in.
 pub(crate) fn record_success(target: &TargetState, now: Microseconds) {
-    target.record_heard(now);
-    target.earn();
-    if target.failures_in_row.load(Ordering::Relaxed) != 0 {
-        target.failures_in_row.store(0, Ordering::Relaxed);
+    target.record_response(now);
+    target.raise_in_flight_max();
+    if target.consecutive_failures.load(Ordering::Relaxed) != 0 {
+        target.consecutive_failures.store(0, Ordering::Relaxed);
     }
     if target.ejections.load(Ordering::Relaxed) != 0 && target.is_warm(now) {
         target.ejections.store(0, Ordering::Relaxed);
@@ -63,7 +63,7 @@
     target
         .ejected_until_us
         .store(until.count(), Ordering::Relaxed);
-    target.failures_in_row.store(0, Ordering::Relaxed);
-    target.cool(until);
+    target.consecutive_failures.store(0, Ordering::Relaxed);
+    target.start_warm_up(until);
     true
 }
--- a/crates/pinhaven-decide/src/lapsed_orders.rs
+++ b/crates/pinhaven-decide/src/lapsed_orders.rs
@@ -32,7 +32,7 @@
 
 impl LapsedOrders {
     /// The same at the end of a version at `now`, with those of its targets that were asked something.
-    pub(crate) fn at_end(&self, targets: &[Arc<TargetState>], now: Microseconds) -> Self {
+    pub(crate) fn at_version_end(&self, targets: &[Arc<TargetState>], now: Microseconds) -> Self {
         let recent = |run: &&LapsedRun| now.saturating_sub(run.lapsed_at) < RETENTION;
         let is_target = |run: &&LapsedRun| {
             let mut targets = targets.iter();
@@ -47,7 +47,7 @@
     }
 
     /// The orders of this run of a target, if it was there before.
-    pub(crate) fn of(&self, target: &Target) -> Option<Arc<OrderState>> {
+    pub(crate) fn find(&self, target: &Target) -> Option<Arc<OrderState>> {
         let is_run = |run: &&LapsedRun| {
             Some(&run.id) == target.id.as_ref() && run.incarnation == target.incarnation
         };
--- a/crates/pinhaven-decide/src/orders.rs
+++ b/crates/pinhaven-decide/src/orders.rs
@@ -26,7 +26,7 @@
 
 /// What of a target's orders was news.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct OrderNews {
+pub struct OrderChanges {
     /// Whether it was not known that it leaves.
     pub leaves: bool,
     /// When a rest ends that was not known to last as long.
@@ -40,7 +40,7 @@
 
 /// Why a target gets nothing now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Closed {
+pub enum TargetClosed {
     /// It leaves.
     Leaving,
     /// It asked for a rest that is not over.
@@ -52,10 +52,13 @@
 
 impl SendPermit {
     /// Leave to send now, unless the target leaves or rests.
-    pub(crate) fn new(is_leaving: bool, rests_until: Option<Microseconds>) -> Result<Self, Closed> {
+    pub(crate) fn new(
+        is_leaving: bool,
+        rests_until: Option<Microseconds>,
+    ) -> Result<Self, TargetClosed> {
         match (is_leaving, rests_until) {
-            (true, _) => Err(Closed::Leaving),
-            (false, Some(until)) => Err(Closed::Resting { until }),
+            (true, _) => Err(TargetClosed::Leaving),
+            (false, Some(until)) => Err(TargetClosed::Resting { until }),
             (false, None) => Ok(Self(())),
         }
     }
@@ -70,8 +73,8 @@
 
 impl OrderState {
     /// Takes in what an answer that came at `now` asks for. Returns what of it was news.
-    pub(crate) fn take(&self, orders: &AnswerOrders, now: Microseconds) -> OrderNews {
-        OrderNews {
+    pub(crate) fn record(&self, orders: &AnswerOrders, now: Microseconds) -> OrderChanges {
+        OrderChanges {
             leaves: orders.leaves && !self.leaves.swap(true, Ordering::Relaxed),
             rests_until: orders
                 .rest
@@ -124,9 +127,9 @@
 /// A copy of [`ClosedUntil`] beside what else is read of a target when one is chosen, so that a pick follows no further
 /// pointer for each target that it looks at.
 #[derive(Debug)]
-pub(crate) struct KnownClosed(AtomicU64);
+pub(crate) struct CachedClosedUntil(AtomicU64);
 
-impl KnownClosed {
+impl CachedClosedUntil {
     pub(crate) fn new(until: ClosedUntil) -> Self {
         Self(AtomicU64::new(until.0))
     }
--- a/crates/pinhaven-decide/src/recent_runs.rs
+++ b/crates/pinhaven-decide/src/recent_runs.rs
@@ -26,7 +26,7 @@
 
 impl RecentRuns {
     /// The runs at the end of a version at `now`: those that were recent in it, and its targets.
-    pub(crate) fn at_end(&self, targets: &[Arc<TargetState>], now: Microseconds) -> Self {
+    pub(crate) fn at_version_end(&self, targets: &[Arc<TargetState>], now: Microseconds) -> Self {
         let mut runs = self.clone();
         runs.0
             .retain(|_, run| now.saturating_sub(run.last_seen_at) < RETENTION);
@@ -44,7 +44,7 @@
     }
 
     /// Whether an earlier run of the target was there lately.
-    pub(crate) fn has_earlier(&self, target: &Target) -> bool {
+    pub(crate) fn has_earlier_run(&self, target: &Target) -> bool {
         let recent = target.id.as_ref().and_then(|id| self.0.get(id));
         recent.is_some_and(|run| target.incarnation > Some(run.incarnation))
     }
--- a/crates/pinhaven-decide/src/request.rs
+++ b/crates/pinhaven-decide/src/request.rs
@@ -8,7 +8,7 @@
 //! - Added attempts are paid for from budgets, and from what the caller left of its own.
 //! - A request that is given up on is refused in the same step, never later.
 
-use crate::availability::Opening;
+use crate::availability::Availability;
 use crate::choice::Choice;
 use crate::choice::Wanted;
 use crate::choice::choose;
@@ -305,10 +305,10 @@
 
     /// Why no target could take the request before `until`, as all leave or rest; `None` where one may.
     pub(crate) fn closed_until(&self, until: Microseconds) -> Option<RefusalReason> {
-        match self.service.opening(self.now) {
-            Opening::Unknown => Some(RefusalReason::NoTarget),
-            Opening::At(at) if at > until => Some(RefusalReason::Resting),
-            Opening::At(_) | Opening::Now => None,
+        match self.service.availability(self.now) {
+            Availability::Unknown => Some(RefusalReason::NoTarget),
+            Availability::At(at) if at > until => Some(RefusalReason::Resting),
+            Availability::At(_) | Availability::Now => None,
         }
     }
 
@@ -317,7 +317,7 @@
         if allowed_ms <= 0.0 {
             return self.refuse(RefusalReason::NoTimeLeft);
         }
-        if self.service.predicted_turn_ms() > allowed_ms {
+        if self.service.predicted_queue_wait_ms() > allowed_ms {
             return self.refuse(RefusalReason::Overloaded);
         }
         let until = self
--- a/crates/pinhaven-decide/src/request_end.rs
+++ b/crates/pinhaven-decide/src/request_end.rs
@@ -1,6 +1,6 @@
 //! How a request's attempts end, and what follows: another attempt, the answer, or a refusal.
 
-use crate::availability::Opening;
+use crate::availability::Availability;
 use crate::event::Action;
 use crate::event::AttemptId;
 use crate::event::AttemptOutcome;
@@ -188,11 +188,11 @@
     /// When the caller should come back, in milliseconds: by the load, but not before any target takes requests.
     fn retry_after_ms(&mut self) -> u64 {
         let by_load_ms = self.service.retry_after_ms(self.random);
-        match self.service.opening(self.now) {
-            Opening::At(rest_ends) => {
-                by_load_ms.max(self.service.return_after_ms(self.now, rest_ends))
+        match self.service.availability(self.now) {
+            Availability::At(rest_ends) => {
+                by_load_ms.max(self.service.staggered_retry_after_ms(self.now, rest_ends))
             }
-            Opening::Now | Opening::Unknown => by_load_ms,
+            Availability::Now | Availability::Unknown => by_load_ms,
         }
     }
 
--- a/crates/pinhaven-decide/src/request_forecast.rs
+++ b/crates/pinhaven-decide/src/request_forecast.rs
@@ -210,7 +210,7 @@
             // Most looks end here, before all targets are looked at.
             return None;
         }
-        let least = HEDGE_CHANCE / (1.0 - self.service.use_share(self.now)).max(HEDGE_CHANCE);
+        let least = HEDGE_CHANCE / (1.0 - self.service.utilization(self.now)).max(HEDGE_CHANCE);
         if miss <= least {
             return None;
         }
--- a/crates/pinhaven-decide/src/service.rs
+++ b/crates/pinhaven-decide/src/service.rs
@@ -3,7 +3,7 @@
 use crate::admission::InFlightLimit;
 use crate::atomic::AtomicF32;
 use crate::atomic::LearnedMedian;
-use crate::availability::Returns;
+use crate::availability::RetryStagger;
 use crate::budget::TokenBudget;
 use crate::health;
 use crate::hedge::HedgeDelay;
@@ -87,14 +87,14 @@
     pub(crate) crowding: LearnedMedian,
     first_seen_at: Microseconds,
     typical_ms: AtomicF32,
-    mean_others: AtomicF32,
+    mean_peer_load: AtomicF32,
     refused_share: AtomicF32,
-    pub(crate) returns: Returns,
+    pub(crate) retry_stagger: RetryStagger,
     pub(crate) limit: InFlightLimit,
     pub(crate) hedge_delay: HedgeDelay,
     pub(crate) hedge_budget: TokenBudget,
     pub(crate) retry_budget: TokenBudget,
-    pub(crate) turn: AtomicU32,
+    pub(crate) round_robin_position: AtomicU32,
     pub(crate) ejection_lock: Mutex<()>,
     pub(crate) hedges: AtomicU64,
     pub(crate) retries: AtomicU64,
@@ -135,10 +135,14 @@
     pub fn new(service: &Service, previous: Option<&Self>, now: Microseconds) -> Self {
         let typical_ms = service.typical_ms as f32;
         let recent_runs = previous
-            .map(|previous| previous.recent_runs.at_end(&previous.targets, now))
+            .map(|previous| previous.recent_runs.at_version_end(&previous.targets, now))
             .unwrap_or_default();
         let lapsed_orders = previous
-            .map(|previous| previous.lapsed_orders.at_end(&previous.targets, now))
+            .map(|previous| {
+                previous
+                    .lapsed_orders
+                    .at_version_end(&previous.targets, now)
+            })
             .unwrap_or_default();
         let previous_targets = PreviousTargets {
             previous,
@@ -168,9 +172,9 @@
             crowding: LearnedMedian::new(CROWDING_INITIAL, CROWDING_INITIAL_SAMPLES),
             first_seen_at: previous.map_or(now, |previous| previous.first_seen_at),
             typical_ms: AtomicF32::new(typical_ms),
-            mean_others: AtomicF32::new(0.0),
+            mean_peer_load: AtomicF32::new(0.0),
             refused_share: AtomicF32::new(0.0),
-            returns: Returns::default(),
+            retry_stagger: RetryStagger::default(),
             limit: InFlightLimit::new(capacity / entries, limit_max),
             hedge_delay: HedgeDelay::new(
                 service.hedge_budget_percent.fraction(),
@@ -185,7 +189,7 @@
                 service.retry_budget_percent.fraction(),
                 BUDGET_CAPACITY,
             ),
-            turn: AtomicU32::new(0),
+            round_robin_position: AtomicU32::new(0),
             ejection_lock: Mutex::new(()),
             hedges: AtomicU64::new(0),
             retries: AtomicU64::new(0),
@@ -195,13 +199,13 @@
             state.take_over(previous);
             state.mark_missing_leaving(previous);
         }
-        state.find_owned();
+        state.refresh_owned();
         state
     }
 
     fn take_over(&self, previous: &Self) {
         self.typical_ms.set(previous.typical_ms.get());
-        self.mean_others.set(previous.mean_others.get());
+        self.mean_peer_load.set(previous.mean_peer_load.get());
         self.limit.take_over(&previous.limit);
         self.hedge_delay.take_over(&previous.hedge_delay);
         self.speed.take_over(&previous.speed);
@@ -216,7 +220,7 @@
         let retained: HashSet<*const TargetState> = self.targets.iter().map(Arc::as_ptr).collect();
         let is_missing = |target: &&Arc<TargetState>| !retained.contains(&Arc::as_ptr(target));
         for target in previous.targets.iter().filter(is_missing) {
-            target.leave();
+            target.mark_leaving();
         }
     }
 
@@ -246,7 +250,7 @@
     }
 
     /// Finds the targets that this entry owns, after it was said of some that it does or does not.
-    pub fn find_owned(&self) {
+    pub fn refresh_owned(&self) {
         let is_owned = |target: &&Arc<TargetState>| target.is_owned();
         let owned = self.targets.iter().filter(is_owned).cloned().collect();
         self.owned.store(Arc::new(owned));
@@ -296,9 +300,9 @@
     /// Takes in a load report that came by another way than a reply: a probe or another entry.
     pub fn record_report(&self, target: &TargetState, now: Microseconds, report: &LoadReport) {
         let peer_load = target.record_report(now, report);
-        self.mean_others.blend(peer_load, PEER_LOAD_WEIGHT);
+        self.mean_peer_load.blend(peer_load, PEER_LOAD_WEIGHT);
         if let Some(slowdown) = report.slowdown {
-            target.record_own_speed(now, slowdown, &self.speed);
+            target.record_direct_speed(now, slowdown, &self.speed);
         }
     }
 
@@ -324,7 +328,7 @@
     }
 
     /// Share of the slots of all targets that take work at `now` that requests of all entries hold, as far as is known.
-    pub fn use_share(&self, now: Microseconds) -> f32 {
+    pub fn utilization(&self, now: Microseconds) -> f32 {
         let (mut held, mut slots) = (0.0, 0.0);
         for target in self.targets.iter().filter(|target| !target.is_closed(now)) {
             held += (target.in_flight() + target.peers_in_flight()) as f32;
@@ -334,21 +338,21 @@
     }
 
     /// How long a target's speed lasts on average, in milliseconds.
-    pub fn speed_lasts_ms(&self) -> f32 {
+    pub fn speed_duration_ms(&self) -> f32 {
         self.speed.lasting_ms()
     }
 
     /// The age of a report at which a target should be asked for its speed.
-    pub fn report_age_wanted(&self) -> Microseconds {
+    pub fn desired_report_age(&self) -> Microseconds {
         let age_ms = (self.typical_ms() * REPORT_AGE_TYPICAL_SHARE)
-            .min(self.speed_lasts_ms() * REPORT_AGE_DURATION_SHARE)
+            .min(self.speed_duration_ms() * REPORT_AGE_DURATION_SHARE)
             .clamp(REPORT_AGE_RANGE_MS.0, REPORT_AGE_RANGE_MS.1);
         Microseconds::new((age_ms * 1_000.0) as u64)
     }
 
     /// Sets how many added attempts this entry may make at once. What all entries may together is
     /// divided among them by whoever knows them.
-    pub fn set_added_at_once(&self, hedges: f32, retries: f32) {
+    pub fn set_added_attempt_burst(&self, hedges: f32, retries: f32) {
         self.hedge_budget.set_capacity(hedges);
         self.retry_budget.set_capacity(retries);
     }
@@ -371,7 +375,7 @@
 
     /// How many times longer work is thought to take at a nearly full target, where it is decided whether to
     /// fill one.
-    pub(crate) fn crowding_to_fill(&self, now: Microseconds) -> f32 {
+    pub(crate) fn admission_crowding(&self, now: Microseconds) -> f32 {
         let learned = self.crowding.get();
         if now.saturating_sub(self.first_seen_at) < CROWDING_CAUTION_PERIOD {
             return learned.max(CROWDING_CAUTION_MIN);
@@ -400,8 +404,8 @@
         self.typical_ms.get()
     }
 
-    pub(crate) fn mean_others(&self) -> f32 {
-        self.mean_others.get()
+    pub(crate) fn mean_peer_load(&self) -> f32 {
+        self.mean_peer_load.get()
     }
 
     pub(crate) fn begin(&self, target: &TargetState, now: Microseconds) {
@@ -460,7 +464,7 @@
     }
 
     /// Time until a request that begins to wait at this entry is sent, in milliseconds.
-    pub(crate) fn predicted_turn_ms(&self) -> f32 {
+    pub(crate) fn predicted_queue_wait_ms(&self) -> f32 {
         (self.waiting() + 1) as f32 * self.typical_ms() / self.limit.get()
     }
 
--- a/crates/pinhaven-decide/src/service_targets.rs
+++ b/crates/pinhaven-decide/src/service_targets.rs
@@ -38,12 +38,12 @@
     let cold_since = previous.map(|_| now);
     let build_state = |target: &Target| {
         let state = TargetState::new(target, service.slots, now, cold_since);
-        let state = match lapsed_orders.of(target) {
+        let state = match lapsed_orders.find(target) {
             Some(orders) => state.with_orders(orders),
             None => state,
         };
-        match recent_runs.has_earlier(target) {
-            true => state.with_share_to_earn(),
+        match recent_runs.has_earlier_run(target) {
+            true => state.with_slow_start(),
             false => state,
         }
     };
@@ -57,7 +57,7 @@
             _ => Arc::new(build_state(target)),
         };
         if target.state == BundledTargetState::Leaving {
-            state.leave();
+            state.mark_leaving();
         }
         state
     };
--- a/crates/pinhaven-decide/src/target.rs
+++ b/crates/pinhaven-decide/src/target.rs
@@ -9,7 +9,7 @@
 use crate::atomic::AtomicF32;
 use crate::crashes::CrashCount;
 use crate::orders::AnswerOrders;
-use crate::orders::KnownClosed;
+use crate::orders::CachedClosedUntil;
 use crate::orders::OrderState;
 use crate::report::LoadReport;
 use crate::speed::ReportedSpeed;
@@ -58,7 +58,7 @@
     cold_until: Microseconds,
     in_flight: AtomicU32,
     start_sum_us: AtomicU64,
-    others: AtomicF32,
+    peer_load: AtomicF32,
     reported_at_us: AtomicU64,
     latency_ms: AtomicF32,
     latency_at_us: AtomicU64,
@@ -66,13 +66,13 @@
     penalty: AtomicF32,
     penalty_at_us: AtomicU64,
     warm_up_from_us: AtomicU64,
-    pub(crate) failures_in_row: AtomicU32,
+    pub(crate) consecutive_failures: AtomicU32,
     pub(crate) ejections: AtomicU32,
     pub(crate) ejected_until_us: AtomicU64,
     is_leaving: AtomicBool,
     /// Shared by all states of this run, if it is gone for a time and comes back.
     orders: Arc<OrderState>,
-    closed_until: KnownClosed,
+    closed_until: CachedClosedUntil,
     is_owned: AtomicBool,
     crashes: CrashCount,
     /// Requests of this entry that it may hold.
@@ -89,7 +89,7 @@
     /// Requests of this entry that it holds.
     pub in_flight: u32,
     /// Requests of others that it is thought to hold.
-    pub others: f32,
+    pub peer_load: f32,
     /// Its recent latency, in milliseconds.
     pub latency_ms: f32,
     /// Whether it is ejected for failing.
@@ -125,7 +125,7 @@
             cold_until: now.plus(Microseconds::from_ms(target.warm_up_ms)),
             in_flight: AtomicU32::new(0),
             start_sum_us: AtomicU64::new(0),
-            others: AtomicF32::new(0.0),
+            peer_load: AtomicF32::new(0.0),
             reported_at_us: AtomicU64::new(0),
             latency_ms: AtomicF32::new(0.0),
             latency_at_us: AtomicU64::new(0),
@@ -133,12 +133,12 @@
             penalty: AtomicF32::new(0.0),
             penalty_at_us: AtomicU64::new(0),
             warm_up_from_us: AtomicU64::new(cold_since.map_or(0, |since| since.count().max(1))),
-            failures_in_row: AtomicU32::new(0),
+            consecutive_failures: AtomicU32::new(0),
             ejections: AtomicU32::new(0),
             ejected_until_us: AtomicU64::new(0),
             is_leaving: AtomicBool::new(false),
             orders: Arc::default(),
-            closed_until: KnownClosed::new(OrderState::default().closed_until()),
+            closed_until: CachedClosedUntil::new(OrderState::default().closed_until()),
             is_owned: AtomicBool::new(false),
             crashes: CrashCount::default(),
             in_flight_max: AtomicU32::new(u32::MAX),
@@ -147,7 +147,7 @@
 
     /// The same for a target that has started again: it gets one request of this entry, and one more with
     /// each good answer. One that crashes time and again so takes no more than its answers earn.
-    pub(crate) fn with_share_to_earn(mut self) -> Self {
+    pub(crate) fn with_slow_start(mut self) -> Self {
         self.in_flight_max = AtomicU32::new(1);
         self
     }
@@ -230,14 +230,14 @@
 
     /// What it last told this entry itself of its speed, and when. What other entries were told is
     /// not passed on, so that no report goes round in circles.
-    pub fn own_reported_speed(&self) -> Option<(f32, Microseconds)> {
+    pub fn directly_reported_speed(&self) -> Option<(f32, Microseconds)> {
         let direct_at_us = self.direct_report_at_us.load(Ordering::Relaxed);
         let last = self.speed.last();
         last.filter(|(_, at)| at.count() == direct_at_us)
     }
 
     /// Takes in what it told this entry of its speed at `now`.
-    pub(crate) fn record_own_speed(
+    pub(crate) fn record_direct_speed(
         &self,
         now: Microseconds,
         slowdown: f32,
@@ -297,7 +297,7 @@
             address: self.address,
             failure_domain: self.failure_domain.clone(),
             in_flight: self.in_flight(),
-            others: self.others.get(),
+            peer_load: self.peer_load.get(),
             latency_ms: self.latency_ms.get(),
             is_ejected: self.is_ejected(now),
             is_leaving: self.is_leaving(),
@@ -314,13 +314,13 @@
 
     /// Whether this entry may send it one more request, by what its answers have earned and by the
     /// connections that it takes.
-    fn has_place(&self, connections_max: u32) -> bool {
+    fn has_capacity(&self, connections_max: u32) -> bool {
         let in_flight_max = self.in_flight_max.load(Ordering::Relaxed);
         self.in_flight() < in_flight_max.min(connections_max)
     }
 
     /// Takes in that it answered well.
-    pub(crate) fn earn(&self) {
+    pub(crate) fn raise_in_flight_max(&self) {
         let in_flight_max = self.in_flight_max.load(Ordering::Relaxed);
         if in_flight_max != u32::MAX {
             // Two answers at a time may count as one.
@@ -345,12 +345,12 @@
 
     /// Takes a report in. What the target holds beyond the own requests is the others'.
     pub(crate) fn record_report(&self, now: Microseconds, report: &LoadReport) -> f32 {
-        let others = report.outstanding().saturating_sub(self.in_flight()) as f32;
-        self.others.set(others);
+        let peer_load = report.outstanding().saturating_sub(self.in_flight()) as f32;
+        self.peer_load.set(peer_load);
         self.reported_at_us.store(now.count(), Ordering::Relaxed);
         let leaves = report.is_draining;
-        self.take_orders(&AnswerOrders { leaves, rest: None }, now);
-        others
+        self.record_orders(&AnswerOrders { leaves, rest: None }, now);
+        peer_load
     }
 
     /// Takes the time of an answer in.
@@ -373,7 +373,7 @@
     }
 
     /// Takes in that the target answered well.
-    pub(crate) fn record_heard(&self, now: Microseconds) {
+    pub(crate) fn record_response(&self, now: Microseconds) {
         self.responded_at_us.store(now.count(), Ordering::Relaxed);
     }
 
@@ -385,7 +385,7 @@
     }
 
     /// Starts the target's share anew from a small one.
-    pub(crate) fn cool(&self, from: Microseconds) {
+    pub(crate) fn start_warm_up(&self, from: Microseconds) {
         self.warm_up_from_us
             .store(from.count().max(1), Ordering::Relaxed);
     }
@@ -414,8 +414,8 @@
     }
 
     /// Requests of others, fading from the last report to the service's mean.
-    pub(crate) fn others_at(&self, now: Microseconds, mean: f32, half_life_ms: f32) -> f32 {
-        let difference = self.others.get() - mean;
+    pub(crate) fn peer_load_at(&self, now: Microseconds, mean: f32, half_life_ms: f32) -> f32 {
+        let difference = self.peer_load.get() - mean;
         mean + decay(
             difference,
             self.age_ms(&self.reported_at_us, now),
--- a/crates/pinhaven-decide/src/target/eligibility.rs
+++ b/crates/pinhaven-decide/src/target/eligibility.rs
@@ -5,11 +5,11 @@
 use super::TargetState;
 use crate::crashes::CrashedRun;
 use crate::orders::AnswerOrders;
-use crate::orders::Closed;
-use crate::orders::KnownClosed;
-use crate::orders::OrderNews;
+use crate::orders::CachedClosedUntil;
+use crate::orders::OrderChanges;
 use crate::orders::OrderState;
 use crate::orders::SendPermit;
+use crate::orders::TargetClosed;
 use pinhaven_types::Microseconds;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,7 +17,7 @@
 impl TargetState {
     /// The same for a run that was there before and has asked for something.
     pub(crate) fn with_orders(mut self, orders: Arc<OrderState>) -> Self {
-        self.closed_until = KnownClosed::new(orders.closed_until());
+        self.closed_until = CachedClosedUntil::new(orders.closed_until());
         self.orders = orders;
         self
     }
@@ -35,13 +35,13 @@
 
     /// Marks the target as leaving. Nothing in its life takes that back: a target that comes back is
     /// a new one in a new bundle version.
-    pub fn leave(&self) {
+    pub fn mark_leaving(&self) {
         self.is_leaving.store(true, Ordering::Relaxed);
     }
 
     /// Takes in what it asks for with an answer that came at `now`. Returns what of it was news.
-    pub fn take_orders(&self, orders: &AnswerOrders, now: Microseconds) -> OrderNews {
-        let changes = self.orders.take(orders, now);
+    pub fn record_orders(&self, orders: &AnswerOrders, now: Microseconds) -> OrderChanges {
+        let changes = self.orders.record(orders, now);
         self.closed_until.set(self.orders.closed_until());
         if changes.rests_until.is_some() {
             // What it gets after its rest grows with its answers, so that all entries together don't press it into the next.
@@ -59,8 +59,8 @@
     ///
     /// # Errors
     ///
-    /// [`Closed`] when it leaves or rests.
-    pub fn permit(&self, now: Microseconds) -> Result<SendPermit, Closed> {
+    /// [`TargetClosed`] when it leaves or rests.
+    pub fn send_permit(&self, now: Microseconds) -> Result<SendPermit, TargetClosed> {
         // What came with an answer to an earlier state of this run is seen here at the latest.
         self.closed_until.set(self.orders.closed_until());
         SendPermit::new(self.is_leaving(), self.rests_until(now))
@@ -72,8 +72,8 @@
     }
 
     /// Whether a request may be sent to it at `now`, by its own word, by its failures, and by the connections that it takes.
-    pub(crate) fn may_get(&self, now: Microseconds, connections_max: u32) -> bool {
-        !self.is_closed(now) && !self.is_ejected(now) && self.has_place(connections_max)
+    pub(crate) fn is_eligible(&self, now: Microseconds, connections_max: u32) -> bool {
+        !self.is_closed(now) && !self.is_ejected(now) && self.has_capacity(connections_max)
     }
 
     /// Takes in that a request broke there and that nobody listened at `now`. Returns the run that crashed.
--- a/crates/pinhaven-decide/tests/choice.rs
+++ b/crates/pinhaven-decide/tests/choice.rs
@@ -53,7 +53,7 @@
 fn a_leaving_target_is_never_chosen_by_any_policy() {
     for policy in POLICIES {
         let service = state_with(5, json!({"policy": policy}));
-        service.targets()[2].leave();
+        service.targets()[2].mark_leaving();
         let picks = picks(&service, 0, 300);
         let left = service.targets()[2].address().to_string();
         assert!(!picks.contains_key(&left), "{policy}: {picks:?}");
@@ -83,7 +83,7 @@
 fn a_later_version_that_still_lists_a_leaving_target_does_not_bring_it_back() {
     let bundle = service_with(3, json!({}));
     let first = ServiceState::new(&bundle, None, at_ms(0));
-    first.targets()[1].leave();
+    first.targets()[1].mark_leaving();
     let second = ServiceState::new(&bundle, Some(&first), at_ms(10));
     assert!(second.targets()[1].is_leaving());
 
@@ -99,7 +99,7 @@
 fn a_service_whose_targets_have_all_left_refuses_as_not_run() {
     let service = state_with(2, json!({}));
     for target in service.targets() {
-        target.leave();
+        target.mark_leaving();
     }
     let mut driven = Driven::repeatable(&service);
     let refusal = driven.handle(0, Event::Arrived).refused.unwrap();
--- a/crates/pinhaven-decide/tests/forecast.rs
+++ b/crates/pinhaven-decide/tests/forecast.rs
@@ -66,7 +66,7 @@
     for target in [7, 300, 599] {
         service.targets()[target].set_owned(true);
     }
-    service.find_owned();
+    service.refresh_owned();
     for _ in 0..20 {
         let driven = Driven::new(&service, true, 1_000);
         assert!([7, 300, 599].contains(&driven.target(0)));
@@ -156,7 +156,7 @@
 fn an_entry_goes_to_targets_of_its_own_first() {
     let service = service(3, 4);
     service.targets()[2].set_owned(true);
-    service.find_owned();
+    service.refresh_owned();
     for target in 0..3 {
         report(&service, target, 1_000, 1.0);
     }
--- a/crates/pinhaven-decide/tests/forecast_attempts.rs
+++ b/crates/pinhaven-decide/tests/forecast_attempts.rs
@@ -42,7 +42,7 @@
 fn a_request_is_hedged_only_while_the_budget_has_something_left() {
     for (at_once, hedges) in [(1.0, 1), (0.0, 0)] {
         let service = service(2, 4);
-        service.set_added_at_once(at_once, 0.0);
+        service.set_added_attempt_burst(at_once, 0.0);
         report(&service, 0, 1_000, 1.0);
         report(&service, 1, 1_000, 3.0);
         let mut driven = Driven::new(&service, true, 1_001);
@@ -73,7 +73,7 @@
 #[test]
 fn an_attempt_without_a_connection_is_made_elsewhere_at_no_cost() {
     let service = service(4, 4);
-    service.set_added_at_once(0.0, 0.0);
+    service.set_added_attempt_burst(0.0, 0.0);
     let mut driven = Driven::with_facts(&service, 1_000, |facts| {
         facts.is_repeatable = false;
         facts.attempts_most = 1;
@@ -101,7 +101,7 @@
     fn stays_within(requests: Vec<u8>) -> bool {
         let entries: Vec<Arc<ServiceState>> = (0..6).map(|_| service(4, 4)).collect();
         for entry in &entries {
-            entry.set_added_at_once(4.0, 0.0);
+            entry.set_added_attempt_burst(4.0, 0.0);
         }
         let mut hedges = 0;
         for (index, at) in requests.iter().enumerate() {
@@ -156,7 +156,7 @@
         let fields = json!({"policy": "forecast", "slots": 4, "hedge_budget_percent": 20.0});
         let service = ServiceState::new(&service_with(2, fields), Some(&learned), at_ms(90_000));
         let service = Arc::new(service);
-        service.set_added_at_once(4.0, 0.0);
+        service.set_added_attempt_burst(4.0, 0.0);
         for target in 0..2 {
             report(&service, target, 99_990, 1.0);
         }
--- a/crates/pinhaven-decide/tests/forecast_learning.rs
+++ b/crates/pinhaven-decide/tests/forecast_learning.rs
@@ -81,7 +81,7 @@
         let slowdown = if (step / 4) % 2 == 0 { 1.0 } else { 7.0 };
         report(&service, 0, 1_000 + step * 50, slowdown);
     }
-    let lasting_ms = service.speed_lasts_ms();
+    let lasting_ms = service.speed_duration_ms();
     assert!((150.0..250.0).contains(&lasting_ms), "{lasting_ms}");
 }
 
@@ -102,7 +102,7 @@
             };
             report(&service, 0, 1_000 + step * 50, slowdown);
         }
-        service.report_age_wanted()
+        service.desired_report_age()
     };
     assert_eq!(age_where_speeds_last(200), Microseconds::from_ms(90));
     let short = age_where_speeds_last(8);
--- a/crates/pinhaven-decide/tests/orders.rs
+++ b/crates/pinhaven-decide/tests/orders.rs
@@ -11,7 +11,6 @@
 use pinhaven_decide::Action;
 use pinhaven_decide::AnswerOrders;
 use pinhaven_decide::AttemptOutcome;
-use pinhaven_decide::Closed;
 use pinhaven_decide::Event;
 use pinhaven_decide::Microseconds;
 use pinhaven_decide::Refusal;
@@ -20,6 +19,7 @@
 use pinhaven_decide::RequestState;
 use pinhaven_decide::RunState;
 use pinhaven_decide::ServiceState;
+use pinhaven_decide::TargetClosed;
 use serde_json::json;
 use std::sync::Arc;
 
@@ -49,7 +49,7 @@
 /// Lets some targets ask for a rest at `time_ms`.
 fn rest(service: &ServiceState, targets: &[usize], time_ms: u64, rest_ms: u64) {
     for target in targets {
-        service.targets()[*target].take_orders(&rest_of(rest_ms), at_ms(time_ms));
+        service.targets()[*target].record_orders(&rest_of(rest_ms), at_ms(time_ms));
     }
 }
 
@@ -96,9 +96,9 @@
 #[test]
 fn a_target_that_says_that_it_leaves_is_chosen_no_more() {
     let service = service(2, 4);
-    let news = service.targets()[0].take_orders(&LEAVES, at_ms(0));
+    let news = service.targets()[0].record_orders(&LEAVES, at_ms(0));
     assert!(news.leaves);
-    let again = service.targets()[0].take_orders(&LEAVES, at_ms(5));
+    let again = service.targets()[0].record_orders(&LEAVES, at_ms(5));
     assert!(!again.leaves, "it is no news any more");
     for time_ms in 10..30 {
         let request = Driven::new(&service, true, time_ms);
@@ -110,7 +110,7 @@
 #[test]
 fn no_later_list_that_names_a_target_as_live_outweighs_its_own_word() {
     let first = state_of(&listed(EARLIER), None, 0);
-    first.targets()[0].take_orders(&LEAVES, at_ms(10));
+    first.targets()[0].record_orders(&LEAVES, at_ms(10));
     let mut changed = listed(EARLIER);
     changed.slots = 5;
     let second = state_of(&changed, Some(&first), 1_000);
@@ -189,24 +189,24 @@
     let until_ms = |time_ms| target.rests_until(at_ms(time_ms));
     assert!(
         target
-            .take_orders(&rest_of(3_000), at_ms(0))
+            .record_orders(&rest_of(3_000), at_ms(0))
             .rests_until
             .is_some()
     );
     assert!(
         target
-            .take_orders(&rest_of(200), at_ms(100))
+            .record_orders(&rest_of(200), at_ms(100))
             .rests_until
             .is_none()
     );
     assert_eq!(until_ms(1_000), Some(at_ms(3_000)));
-    target.take_orders(&rest_of(3_000), at_ms(2_000));
+    target.record_orders(&rest_of(3_000), at_ms(2_000));
     let until = at_ms(5_000);
     assert_eq!(
-        target.permit(at_ms(4_999)).unwrap_err(),
-        Closed::Resting { until }
+        target.send_permit(at_ms(4_999)).unwrap_err(),
+        TargetClosed::Resting { until }
     );
-    assert!(target.permit(at_ms(5_000)).is_ok());
+    assert!(target.send_permit(at_ms(5_000)).is_ok());
 }
 
 #[test]
@@ -264,12 +264,12 @@
 #[test]
 fn a_service_whose_targets_leave_or_rest_waits_for_the_rest_alone() {
     let service = service(2, 4);
-    service.targets()[0].take_orders(&LEAVES, at_ms(0));
+    service.targets()[0].record_orders(&LEAVES, at_ms(0));
     rest(&service, &[1], 0, 3_000);
     let refusal = refusal_of(&Driven::new(&service, true, 500));
     assert_eq!(refusal.reason, RefusalReason::Resting);
     assert_eq!(refusal.retry_after_ms, 2_500);
-    service.targets()[1].take_orders(&LEAVES, at_ms(600));
+    service.targets()[1].record_orders(&LEAVES, at_ms(600));
     let refusal = refusal_of(&Driven::new(&service, true, 700));
     assert_eq!(refusal.reason, RefusalReason::NoTarget);
 }
@@ -283,31 +283,31 @@
     let second = state_of(&changed, Some(&first), 1_000);
     assert!(second.targets()[0].rests_until(at_ms(1_000)).is_some());
     let restarted = state_of(&listed(LATER), Some(&second), 2_000);
-    assert!(restarted.targets()[0].permit(at_ms(2_000)).is_ok());
+    assert!(restarted.targets()[0].send_permit(at_ms(2_000)).is_ok());
 }
 
 #[test]
 fn a_target_that_lapses_and_comes_back_in_the_same_run_has_asked_for_the_same() {
     for orders in [LEAVES, rest_of(60_000)] {
         let mut known = state_of(&listed(EARLIER), None, 0);
-        known.targets()[0].take_orders(&orders, at_ms(10));
+        known.targets()[0].record_orders(&orders, at_ms(10));
         for round in 1..4 {
             let lapsed = state_of(&empty_list(), Some(&known), round * 2_000);
             known = state_of(&listed(EARLIER), Some(&lapsed), round * 2_000 + 1_000);
-            let permit = known.targets()[0].permit(at_ms(round * 2_000 + 1_000));
+            let permit = known.targets()[0].send_permit(at_ms(round * 2_000 + 1_000));
             assert!(permit.is_err(), "{orders:?}, round {round}");
         }
         let restarted = state_of(&listed(LATER), Some(&known), 9_000);
-        assert!(restarted.targets()[0].permit(at_ms(9_000)).is_ok());
+        assert!(restarted.targets()[0].send_permit(at_ms(9_000)).is_ok());
     }
 }
 
 #[test]
 fn what_is_remembered_of_targets_that_are_gone_ends_with_its_time() {
     let known = state_of(&listed(EARLIER), None, 0);
-    known.targets()[0].take_orders(&rest_of(5_000), at_ms(10));
+    known.targets()[0].record_orders(&rest_of(5_000), at_ms(10));
     let lapsed = state_of(&empty_list(), Some(&known), 1_000);
     let back = state_of(&listed(EARLIER), Some(&lapsed), 2_000);
-    assert!(back.targets()[0].permit(at_ms(5_000)).is_err());
-    assert!(back.targets()[0].permit(at_ms(5_010)).is_ok());
+    assert!(back.targets()[0].send_permit(at_ms(5_000)).is_err());
+    assert!(back.targets()[0].send_permit(at_ms(5_010)).is_ok());
 }
--- a/crates/pinhaven-decide/tests/restarts.rs
+++ b/crates/pinhaven-decide/tests/restarts.rs
@@ -55,7 +55,7 @@
     ));
     report(&before, 0, 10, 7.0);
     before.targets()[0].record_peer_in_flight(0, 6);
-    before.targets()[0].leave();
+    before.targets()[0].mark_leaving();
     let after = next_version(&before, &service(Some(LATER), "live"), 1_000);
     let target = &after.targets()[0];
     assert!(!target.is_leaving());
--- a/crates/pinhaven-entry/src/peers/news.rs
+++ b/crates/pinhaven-entry/src/peers/news.rs
@@ -20,7 +20,7 @@
 use async_io::Async;
 use pinhaven_agree::DemandMeter;
 use pinhaven_agree::MemberRow;
-use pinhaven_decide::ToldTargets;
+use pinhaven_decide::AdvertisedTargets;
 use pinhaven_peer::Beat;
 use pinhaven_peer::ListNews;
 use pinhaven_peer::News;
@@ -93,7 +93,7 @@
 /// The entries of one failure domain or of all others, and what they have been told so far.
 #[derive(Default)]
 struct Audience {
-    told: ToldTargets,
+    told: AdvertisedTargets,
     told_at: Microseconds,
 }
 
@@ -300,7 +300,7 @@
         let uses = snapshot
             .services
             .values()
-            .map(|service| service.state.use_share(now));
+            .map(|service| service.state.utilization(now));
         let most_used = uses.fold(0.0, f32::max);
         let (from, to) = BUSY_USE;
         ((most_used - from) / (to - from)).clamp(0.0, 1.0)
--- a/crates/pinhaven-entry/src/peers/news_message.rs
+++ b/crates/pinhaven-entry/src/peers/news_message.rs
@@ -2,9 +2,9 @@
 
 use crate::versions::snapshot::KeyedTarget;
 use crate::versions::snapshot::Snapshot;
-use pinhaven_decide::TargetFacts;
+use pinhaven_decide::AdvertisedState;
+use pinhaven_decide::AdvertisedTargets;
 use pinhaven_decide::TargetState;
-use pinhaven_decide::ToldTargets;
 use pinhaven_peer::TargetNews;
 use pinhaven_types::Incarnation;
 use pinhaven_types::Microseconds;
@@ -15,9 +15,9 @@
 /// whole datagrams are missing then.
 const COUNTS_HOLD_FOR: Microseconds = Microseconds::from_ms(1_600);
 
-/// What there is to tell of targets: what is worth telling now, as [`ToldTargets`] has it.
+/// What there is to tell of targets: what is worth telling now, as [`AdvertisedTargets`] has it.
 pub(crate) fn gather(
-    told: &mut ToldTargets,
+    told: &mut AdvertisedTargets,
     snapshot: &Snapshot,
     now: Microseconds,
     is_whole: bool,
@@ -25,13 +25,13 @@
     let targets = snapshot.keyed_targets();
     let mut news = Vec::new();
     for (key, KeyedTarget { target, .. }) in targets {
-        let report = target.own_reported_speed();
-        let facts = TargetFacts {
+        let report = target.directly_reported_speed();
+        let facts = AdvertisedState {
             in_flight: target.in_flight(),
             report_at: report.map_or(Microseconds::ZERO, |(_, at)| at),
         };
         let fresh = report.filter(|_| told.is_report_new(*key, &facts));
-        if !told.is_worth_telling(*key, facts, is_whole, now) {
+        if !told.should_advertise(*key, facts, is_whole, now) {
             continue;
         }
         news.push(TargetNews {
@@ -42,7 +42,7 @@
         });
     }
     if told.len() > targets.len() {
-        told.keep(|key| targets.contains_key(&key));
+        told.retain(|key| targets.contains_key(&key));
     }
     news
 }
--- a/crates/pinhaven-entry/src/request/attempt.rs
+++ b/crates/pinhaven-entry/src/request/attempt.rs
@@ -150,7 +150,7 @@
             return AttemptEnd::NotSent;
         }
         // The target may have asked to be left or let rest while the connection was made.
-        let Ok(permit) = target.permit(entry.now()) else {
+        let Ok(permit) = target.send_permit(entry.now()) else {
             pool.keep(connected.sender);
             return AttemptEnd::Closed;
         };
--- a/crates/pinhaven-entry/src/request/dispatch.rs
+++ b/crates/pinhaven-entry/src/request/dispatch.rs
@@ -315,7 +315,7 @@
             }
             AttemptEnd::OtherTarget => {
                 // Nothing of ours runs at that address any more.
-                attempt.target.leave();
+                attempt.target.mark_leaving();
                 self.free_place(attempt, Count::AttemptMisdirected);
                 AttemptOutcome::Shed { report: None }
             }
--- a/crates/pinhaven-entry/src/targets/added_attempts.rs
+++ b/crates/pinhaven-entry/src/targets/added_attempts.rs
@@ -21,7 +21,7 @@
             let (hedges, retries) = (part * HEDGES_AT_ONCE, part * RETRIES_AT_ONCE);
             service
                 .state
-                .set_added_at_once(hedges as f32, retries as f32);
+                .set_added_attempt_burst(hedges as f32, retries as f32);
         }
     }
 
--- a/crates/pinhaven-entry/src/targets/leaving.rs
+++ b/crates/pinhaven-entry/src/targets/leaving.rs
@@ -30,7 +30,7 @@
                 && !target.is_leaving()
             {
                 log::info!(target: "leaving", "Target {} of {service} is leaving.", target.address());
-                target.leave();
+                target.mark_leaving();
                 is_news = true;
             }
         }
--- a/crates/pinhaven-entry/src/targets/orders.rs
+++ b/crates/pinhaven-entry/src/targets/orders.rs
@@ -48,7 +48,7 @@
             return;
         }
         let now = self.now();
-        let news = target.take_orders(&orders, now);
+        let news = target.record_orders(&orders, now);
         if news.leaves {
             self.record_leave(service, target, source);
             self.tell_leave(target);
@@ -69,7 +69,7 @@
             let Some(KeyedTarget { service, target }) = snapshot.keyed_targets().get(key) else {
                 continue;
             };
-            if target.take_orders(&leaves, self.now()).leaves {
+            if target.record_orders(&leaves, self.now()).leaves {
                 self.record_leave(service, target, OrderSource::Entry);
             }
         }
--- a/crates/pinhaven-entry/src/targets/owned_targets.rs
+++ b/crates/pinhaven-entry/src/targets/owned_targets.rs
@@ -49,7 +49,7 @@
             }
         }
         for service in snapshot.services.values() {
-            service.state.find_owned();
+            service.state.refresh_owned();
         }
         self.candidates = candidates;
         self.keys = keys;
--- a/crates/pinhaven-entry/src/targets/probes.rs
+++ b/crates/pinhaven-entry/src/targets/probes.rs
@@ -135,7 +135,7 @@
             return;
         };
         let now = self.now();
-        let Ok(permit) = state.permit(now) else {
+        let Ok(permit) = state.send_permit(now) else {
             return;
         };
         if budget.next_at().is_none_or(|at| at > now) {
--- a/crates/pinhaven-entry/src/targets/speed_probes.rs
+++ b/crates/pinhaven-entry/src/targets/speed_probes.rs
@@ -70,8 +70,8 @@
         let age = target
             .reported_speed()
             .map(|(_, at)| now.saturating_sub(at));
-        let wanted = keyed.service.state.report_age_wanted();
-        let Ok(permit) = target.permit(now) else {
+        let wanted = keyed.service.state.desired_report_age();
+        let Ok(permit) = target.send_permit(now) else {
             return;
         };
         if age.is_some_and(|age| age < wanted) {
@@ -124,7 +124,7 @@
         let answered_by = self.dialect.probed_target(answer.headers());
         if answered_by.is_some() && answered_by.as_ref() != target.id() {
             log::info!(target: "probe", "Another target has the address of {}.", target.address());
-            target.leave();
+            target.mark_leaving();
             return;
         }
         let answering = self.dialect.probed_incarnation(answer.body());
--- a/crates/pinhaven-entry/src/watch/status.rs
+++ b/crates/pinhaven-entry/src/watch/status.rs
@@ -226,7 +226,7 @@
         address: view.address.to_string(),
         failure_domain: view.failure_domain.to_string(),
         in_flight: view.in_flight,
-        others: view.others,
+        others: view.peer_load,
         latency_ms: view.latency_ms,
         state: state.to_owned(),
         rests_for_ms: view.rests_for_ms,
--- a/crates/pinhaven-lab/src/emulate/entry.rs
+++ b/crates/pinhaven-lab/src/emulate/entry.rs
@@ -47,7 +47,7 @@
     for (target, known) in state.targets().iter().enumerate() {
         known.set_owned(target % plan.entries == number);
     }
-    state.find_owned();
+    state.refresh_owned();
     EmulatedEntry {
         service: Arc::new(state),
         routes: plan
--- a/crates/pinhaven-lab/src/emulate/world.rs
+++ b/crates/pinhaven-lab/src/emulate/world.rs
@@ -384,7 +384,7 @@
         let Some((attempt, target)) = call.attempts.get(&attempt.0) else {
             return;
         };
-        attempt.target.take_orders(orders, self.now());
+        attempt.target.record_orders(orders, self.now());
         self.tally
             .orders
             .hear((call.entry, *target), orders, self.now_ms);
@@ -470,7 +470,7 @@
     fn tell(&mut self, teller: usize, target: usize) {
         let now = self.now();
         let known = &self.entries[teller].service.targets()[target];
-        let (in_flight, report) = (known.in_flight(), known.own_reported_speed());
+        let (in_flight, report) = (known.in_flight(), known.directly_reported_speed());
         let leaves = AnswerOrders {
             leaves: known.is_leaving(),
             rest: None,
@@ -482,7 +482,7 @@
             }
             let heard = &entry.service.targets()[target];
             heard.record_peer_in_flight(before, in_flight);
-            heard.take_orders(&leaves, now);
+            heard.record_orders(&leaves, now);
             if let Some((slowdown, at)) = report {
                 entry.service.record_speed(heard, at, slowdown);
             }
@@ -504,7 +504,7 @@
                 .reported_speed()
                 .map(|(_, at)| now.saturating_sub(at).as_ms());
             let is_due = age.is_none_or(|age| age >= self.plan.probe_ms);
-            if is_due && known.permit(now).is_ok() {
+            if is_due && known.send_permit(now).is_ok() {
                 service.record_report(known, now, &self.targets[target].report());
             }
         }
@@ -516,7 +516,7 @@
         for entry in &self.entries {
             entry.service.targets()[..count]
                 .iter()
-                .for_each(|target| target.leave());
+                .for_each(|target| target.mark_leaving());
         }
     }
 }
