--- a/crates/pinhaven-decide/src/advertised.rs
+++ b/crates/pinhaven-decide/src/advertised.rs
@@ -1,22 +1,21 @@
-//! What an entry has told the others of targets, and so what is worth telling.
+//! State of targets that this entry has advertised to its peers, and which state to advertise next.
 //!
-//! Counts are told by datagrams, which are lost now and then. So a count is told when it changes, and in
-//! whole rounds again for a while, also when it is none any more: else a lost datagram would leave the
-//! others with requests that ended long ago.
+//! Counts travel by datagrams, which can be lost. A count is advertised when it changes and repeated in full rounds
+//! for a while, also when it has fallen to zero: otherwise a lost datagram would leave the peers counting requests
+//! that ended long ago.
 
 use pinhaven_types::Microseconds;
 use std::collections::HashMap;
 
-/// How long a count that changed is told again in whole rounds, though it is none any more; two such
-/// rounds fit in.
+/// Period after a change during which full rounds repeat a count of zero. Two full rounds fit into this period.
 const REPEAT_PERIOD: Microseconds = Microseconds::from_ms(1_100);
 
-/// What is known of a target here.
+/// State of a target as this entry knows it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AdvertisedState {
-    /// Requests of this entry that it holds.
+    /// Requests of this entry in flight at the target.
     pub in_flight: u32,
-    /// When it last told this entry how fast it is; zero when it never did.
+    /// When the target last reported its speed to this entry directly; zero if it never did.
     pub report_at: Microseconds,
 }
 
@@ -26,12 +25,12 @@
     changed_at: Microseconds,
 }
 
-/// What was last told of each target.
+/// State last advertised for each target, by target key.
 #[derive(Debug, Default)]
 pub struct AdvertisedTargets(HashMap<u32, Advertised>);
 
 impl AdvertisedTargets {
-    /// Whether what is known of a target is worth telling at `now`; it then counts as told.
+    /// Whether the state of a target should be advertised at `now`. Records the state as advertised.
     pub fn should_advertise(
         &mut self,
         target: u32,
@@ -50,23 +49,23 @@
         is_report_new || has_changed || (is_whole && (state.in_flight > 0 || is_recent))
     }
 
-    /// Whether a report that is known now was not told yet.
+    /// Whether `state` holds a report that has not been advertised yet.
     pub fn is_report_new(&self, target: u32, state: &AdvertisedState) -> bool {
         let advertised = self.0.get(&target);
         is_report_new(&advertised.copied().unwrap_or_default().state, state)
     }
 
-    /// Forgets all targets but those that are still there.
+    /// Removes all targets except those for which `is_known` holds.
     pub fn retain(&mut self, is_known: impl Fn(u32) -> bool) {
         self.0.retain(|target, _| is_known(*target));
     }
 
-    /// How many targets something was told of.
+    /// Number of targets with advertised state.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether nothing was told yet.
+    /// Whether nothing has been advertised yet.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/pinhaven-decide/src/availability.rs
+++ b/crates/pinhaven-decide/src/availability.rs
@@ -1,8 +1,9 @@
-//! When a service whose targets all leave or rest takes requests again, and when their callers should come back.
+//! When a service whose targets all leave or rest becomes available again, and when its callers should retry.
 //!
-//! A request that no target may get before it would be given up on anyway is refused at once. Its caller is told the end of
-//! the first rest. Callers that come back together would press the targets into the next rest, so each is told a later moment
-//! than the one before it, as far apart as this entry sent requests before.
+//! A request that no target can receive within its permitted wait is refused at once. The refusal names the end of
+//! the first rest. Callers that retry at the same moment would overload the targets and cause the next rest, so each
+//! refused caller gets a later time than the previous one. The interval between two callers is the mean time between
+//! two requests that this entry sends.
 
 use crate::service::ServiceState;
 use pinhaven_types::Microseconds;
@@ -10,13 +11,13 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// The longest time over which callers come back after a rest, in milliseconds.
+/// Maximum time over which the retries after a rest are spread, in milliseconds.
 const STAGGER_MAX_MS: f32 = 60_000.0;
 
 /// When any target of a service takes requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Availability {
-    /// Now, unless it is full or failing.
+    /// Now, unless the target is full or failing.
     Now,
     /// When the first rest ends.
     At(Microseconds),
@@ -24,7 +25,7 @@
     Unknown,
 }
 
-/// Callers that were told to come back at the end of one rest.
+/// Counts the callers refused until the end of a rest, so that each gets a different time to retry.
 #[derive(Debug, Default)]
 pub(crate) struct RetryStagger {
     rest_ends_us: AtomicU64,
@@ -32,11 +33,11 @@
 }
 
 impl RetryStagger {
-    /// How many callers were told of this end before.
+    /// Counts one more refusal until `rest_ends` and returns the number of earlier ones.
     fn count_refusal(&self, rest_ends: Microseconds) -> u32 {
         let previous_end_us = self.rest_ends_us.swap(rest_ends.count(), Ordering::Relaxed);
         if previous_end_us != rest_ends.count() {
-            // Callers that are told at the same time may get the same turn.
+            // Callers that are refused concurrently may get the same position.
             self.refused.store(0, Ordering::Relaxed);
         }
         self.refused.fetch_add(1, Ordering::Relaxed)
@@ -44,7 +45,7 @@
 }
 
 impl ServiceState {
-    /// When any target takes requests.
+    /// When the first target takes requests.
     pub(crate) fn availability(&self, now: Microseconds) -> Availability {
         let mut opening = Availability::Unknown;
         for target in self.targets() {
@@ -62,7 +63,7 @@
         opening
     }
 
-    /// When the next caller should come back to targets that rest until `rest_ends`, in milliseconds.
+    /// Time after which the next refused caller should retry when targets rest until `rest_ends`, in milliseconds.
     pub(crate) fn staggered_retry_after_ms(
         &self,
         now: Microseconds,
--- a/crates/pinhaven-decide/src/health.rs
+++ b/crates/pinhaven-decide/src/health.rs
@@ -1,24 +1,24 @@
-//! Ejection of failing targets, with a floor on how many stay, and a slow return.
+//! Ejection of failing targets, limited to a share of all targets, and their gradual return.
 //!
-//! A target that fails at once looks idle, so each failure counts as load for a while. Several in a
-//! row eject the target. It returns with a small share that grows, so that it meets no surge, and is
-//! ejected for twice as long when it fails again.
+//! A target that fails immediately appears idle, so each failure counts as load for a while. Several consecutive
+//! failures eject the target. It returns with a small share of requests that grows, to avoid a surge, and each
+//! further ejection lasts twice as long.
 
 use crate::service::ServiceState;
 use crate::target::TargetState;
 use pinhaven_types::Microseconds;
 use std::sync::atomic::Ordering;
 
-/// Failures in a row that eject a target.
+/// Consecutive failures that eject a target.
 const FAILURES_TO_EJECT: u32 = 3;
-/// Time of the first ejection.
+/// Duration of the first ejection.
 const EJECTION_INITIAL: Microseconds = Microseconds::from_ms(500);
-/// Doublings after which ejections get no longer.
+/// Number of doublings after which ejections get no longer.
 const EJECTION_DOUBLINGS_MAX: u32 = 6;
-/// The most targets that may be ejected at a time, as a share of all.
+/// Maximum share of targets that may be ejected at a time. Targets that leave or rest count as well.
 const EJECTED_SHARE_MAX: f32 = 0.34;
 
-/// Takes a failure of a target in; returns whether that ejected it.
+/// Records a failure of a target. Returns whether the failure ejected it.
 pub(crate) fn record_failure(
     service: &ServiceState,
     target: &TargetState,
@@ -29,7 +29,7 @@
     failures >= FAILURES_TO_EJECT && eject(service, target, now)
 }
 
-/// Takes a good answer of a target in.
+/// Records a successful answer of a target.
 pub(crate) fn record_success(target: &TargetState, now: Microseconds) {
     target.record_response(now);
     target.raise_in_flight_max();
@@ -42,7 +42,7 @@
 }
 
 fn eject(service: &ServiceState, target: &TargetState, now: Microseconds) -> bool {
-    // Ejections are rare; the lock keeps two threads from going past the floor together.
+    // Ejections are rare; the lock prevents two threads from exceeding the maximum share together.
     let _guard = service.ejection_lock.lock();
     if target.is_ejected(now) {
         return false;
--- a/crates/pinhaven-decide/src/lapsed_orders.rs
+++ b/crates/pinhaven-decide/src/lapsed_orders.rs
@@ -1,7 +1,8 @@
-//! Orders of targets that are missing from the list.
+//! Orders of targets that are missing from the list of targets.
 //!
-//! While the store is away entries lapse, and lists of peers may lack what others have. A target that comes back in the
-//! same run has asked for what it asked for: it is as if it had been listed all the time.
+//! While the store is unavailable, targets lapse from the list, and the lists of peers may lack targets that others
+//! contain. The orders of a run stay valid during its absence: a target that is listed again in the same run is
+//! treated as if it had been listed all the time.
 
 use crate::orders::OrderState;
 use crate::target::TargetState;
@@ -11,13 +12,12 @@
 use pinhaven_types::TargetIncarnation;
 use std::sync::Arc;
 
-/// How long orders are remembered after their target was gone; an outage of the store is over by then.
+/// How long orders are retained after their target has lapsed. Outages of the store are shorter.
 const RETENTION: Microseconds = Microseconds::from_ms(600_000);
-/// The most of them, the last gone first, so that a service whose targets come and go takes no more than 100 KB
-/// (computed).
+/// Maximum number of retained runs, which bounds the memory per service to 100 KB. The oldest are dropped first.
 const RUNS_MAX: usize = 1_024;
 
-/// The orders of one run that is gone.
+/// Orders of one run that has lapsed.
 #[derive(Debug, Clone)]
 struct LapsedRun {
     id: TargetId,
@@ -26,12 +26,13 @@
     lapsed_at: Microseconds,
 }
 
-/// The orders of runs that are gone, the first gone first.
+/// Orders of lapsed runs, the oldest first.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct LapsedOrders(Vec<LapsedRun>);
 
 impl LapsedOrders {
-    /// The same at the end of a version at `now`, with those of its targets that were asked something.
+    /// The lapsed orders after a version ends at `now`: those retained so far, and those of the version's targets
+    /// with orders in force.
     pub(crate) fn at_version_end(&self, targets: &[Arc<TargetState>], now: Microseconds) -> Self {
         let recent = |run: &&LapsedRun| now.saturating_sub(run.lapsed_at) < RETENTION;
         let is_target = |run: &&LapsedRun| {
@@ -46,7 +47,7 @@
         Self(runs)
     }
 
-    /// The orders of this run of a target, if it was there before.
+    /// The orders of this run of a target, if they are retained.
     pub(crate) fn find(&self, target: &Target) -> Option<Arc<OrderState>> {
         let is_run = |run: &&LapsedRun| {
             Some(&run.id) == target.id.as_ref() && run.incarnation == target.incarnation
@@ -56,9 +57,9 @@
     }
 }
 
-/// The run of a target that has asked for something.
+/// The run of a target that has orders in force at `now`.
 fn lapsed_run(target: &TargetState, now: Microseconds) -> Option<LapsedRun> {
-    // Operators put a target without an id back by listing it again.
+    // Targets without an id can't be recognised; operators reinstate them by listing them as live.
     let id = target.id()?.clone();
     let orders = target.orders();
     orders.closed_until().is_closed(now).then(|| LapsedRun {
--- a/crates/pinhaven-decide/src/measuring.rs
+++ b/crates/pinhaven-decide/src/measuring.rs
@@ -1,9 +1,8 @@
-//! The budget of measuring one target.
+//! The probe budget of one target.
 //!
-//! Only the holder of the target's seat probes it, so no sum over entries has to be kept. What is
-//! left to guard is the change of holders: the old one may have been paused just before it sent, and
-//! the new one may begin at once. Both are paid for beforehand by planning two probes less than the
-//! window could hold.
+//! Only the holder of a target's seat probes it, so the entries need no common sum. A change of holders needs
+//! protection: the old holder may have been paused just before it sent a probe, and the new holder may begin at once.
+//! Both probes are reserved in advance by planning two probes fewer than the window could hold.
 
 use pinhaven_bundle::Measuring;
 use pinhaven_bundle::Service;
@@ -12,10 +11,10 @@
 use pinhaven_types::require_promise;
 use std::collections::VecDeque;
 
-/// Probes of a window that are kept back for a change of holders.
+/// Probes per window that are reserved for a change of holders.
 const PROBES_RESERVED: u64 = 2;
 
-/// When one target may be probed next.
+/// Limits when one target may be probed.
 #[derive(Debug, Clone)]
 pub struct ProbeBudget {
     window: Microseconds,
@@ -27,7 +26,7 @@
 }
 
 impl ProbeBudget {
-    /// The budget of each target of a service, for a holder who got the seat at `now`.
+    /// The budget of each target of a service, for a holder that acquired the seat at `now`.
     pub fn new(measuring: &Measuring, service: &Service, now: Microseconds) -> Self {
         let window = Microseconds::from_ms(measuring.window_ms);
         let share = service.measuring_budget_percent.fraction();
@@ -46,22 +45,22 @@
         }
     }
 
-    /// Whether the other budget plans with the same figures.
+    /// Whether `other` has the same window, allowance and cost.
     pub fn is_same_plan(&self, other: &Self) -> bool {
         (self.window, self.allowed, self.cost) == (other.window, other.allowed, other.cost)
     }
 
-    /// Whether the budget has room for any probe at all.
+    /// Whether the budget allows any probe at all.
     pub fn allows_probes(&self) -> bool {
         self.spacing.is_some()
     }
 
-    /// When the next probe may be sent; `None` when never.
+    /// When the next probe may be sent; `None` if never.
     pub fn next_at(&self) -> Option<Microseconds> {
         self.spacing.map(|_| self.next_at)
     }
 
-    /// Takes a probe out of the budget; `false` when it is too early.
+    /// Takes a probe from the budget; `false` if it is too early.
     pub fn take(&mut self, now: Microseconds) -> bool {
         let Some(spacing) = self.spacing else {
             return false;
@@ -82,8 +81,8 @@
         is_within_budget
     }
 
-    /// Takes in that the last probe held the target for `time`. One that took longer than was
-    /// planned puts the next off in proportion.
+    /// Records that the last probe occupied the target for `time`. A probe that took longer than planned delays the
+    /// next one in proportion.
     pub fn record(&mut self, time: Microseconds) {
         let Some(spacing) = self.spacing else {
             return;
@@ -113,22 +112,22 @@
     }
 }
 
-/// Entries that may probe one target at the same time while they disagree on whose turn it is.
+/// Maximum number of entries that may probe one target at the same time while they disagree on the holder.
 const PROBERS_MAX: u64 = 3;
 
-/// When one entry may probe one target again, where any of several entries may.
+/// Limits when one entry may probe one target again, where several entries may probe it.
 ///
-/// All entries together are held to a number of probes a second. As no entry sees the others' probes,
-/// each keeps to a fixed part of that number, which holds for as many entries as could ever ask.
+/// All entries together are limited to a number of probes a second. No entry sees the probes of the others, so each
+/// uses a fixed share of that number, which holds for the maximum number of concurrent probers.
 #[derive(Debug, Clone)]
 pub struct ProbePace {
-    /// Time between two probes; nothing when none may be sent.
+    /// Time between two probes; `None` if none may be sent.
     spacing: Option<Microseconds>,
     last_at: Option<Microseconds>,
 }
 
 impl ProbePace {
-    /// The pace where all entries together may send `per_second_most`; 0 for none.
+    /// The pace where all entries together may send `per_second_max` probes a second; 0 for none.
     pub fn new(per_second_max: u32) -> Self {
         let second_us: u64 = 1_000_000;
         let spacing_us = (second_us * PROBERS_MAX).checked_div(u64::from(per_second_max));
@@ -138,7 +137,7 @@
         }
     }
 
-    /// Takes a probe out of the budget; `false` when it is too early.
+    /// Takes a probe from the budget; `false` if it is too early.
     pub fn take(&mut self, now: Microseconds) -> bool {
         let Some(spacing) = self.spacing else {
             return false;
--- a/crates/pinhaven-decide/src/orders.rs
+++ b/crates/pinhaven-decide/src/orders.rs
@@ -1,57 +1,61 @@
-//! What targets ask for with their answers: that no new work comes, or none for a time.
+//! Orders that targets send with their answers: to send no new work, or none for a time.
 //!
-//! Both bind this entry, unlike reports of load, which only weigh. They hold for one run of a target. A target that
-//! leaves does so for good; a rest ends at its time, and a shorter one that is asked for later does not cut it.
+//! Orders bind this entry, unlike load reports, which only influence the choice. They hold for one run of a target.
+//! Leaving is permanent. A rest ends at its time, and a later order for a shorter rest does not shorten it.
 
 use pinhaven_types::Microseconds;
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// What a target asks for with one answer.
+/// Orders that a target sends with one answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AnswerOrders {
-    /// It leaves, and wants no new work in this run.
+    /// The target is leaving and accepts no new work in this run.
     pub leaves: bool,
-    /// It wants nothing from this entry for this long.
+    /// The target accepts nothing from this entry for this long.
     pub rest: Option<Microseconds>,
 }
 
 impl AnswerOrders {
-    /// Whether it asks for nothing.
+    /// Whether there is no order.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// What of a target's orders was news.
+/// Changes that an answer's orders made to the orders of its target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OrderChanges {
-    /// Whether it was not known that it leaves.
+    /// Whether the target was not known to be leaving.
     pub leaves: bool,
-    /// When a rest ends that was not known to last as long.
+    /// The end of the rest, if the rest was not known to last that long.
     pub rests_until: Option<Microseconds>,
 }
 
-/// Leave to send one request or probe to a target at once. Whatever writes to a target takes one.
+/// Permission to send one request or probe to a target immediately. Everything that writes to a target requires one.
 #[derive(Debug)]
 #[must_use]
 pub struct SendPermit(());
 
-/// Why a target gets nothing now.
+/// Why nothing may be sent to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetClosed {
-    /// It leaves.
+    /// The target is leaving.
     Leaving,
-    /// It asked for a rest that is not over.
+    /// The target asked for a rest that is not over.
     Resting {
-        /// When that ends.
+        /// End of the rest.
         until: Microseconds,
     },
 }
 
 impl SendPermit {
-    /// Leave to send now, unless the target leaves or rests.
+    /// Permission to send now, unless the target leaves or rests.
+    ///
+    /// # Errors
+    ///
+    /// [`TargetClosed`] if the target leaves or rests.
     pub(crate) fn new(
         is_leaving: bool,
         rests_until: Option<Microseconds>,
@@ -72,7 +76,7 @@
 }
 
 impl OrderState {
-    /// Takes in what an answer that came at `now` asks for. Returns what of it was news.
+    /// Records the orders of an answer that arrived at `now`. Returns what they changed.
     pub(crate) fn record(&self, orders: &AnswerOrders, now: Microseconds) -> OrderChanges {
         OrderChanges {
             leaves: orders.leaves && !self.leaves.swap(true, Ordering::Relaxed),
@@ -82,7 +86,7 @@
         }
     }
 
-    /// Until when nothing may be sent.
+    /// Until when nothing may be sent to the target.
     pub(crate) fn closed_until(&self) -> ClosedUntil {
         match self.leaves.load(Ordering::Relaxed) {
             true => ClosedUntil::PERMANENT,
@@ -90,7 +94,7 @@
         }
     }
 
-    /// Returns the end of the rest if that was not known to be as late.
+    /// Extends the rest to `until`. Returns its end if the rest was not known to last that long.
     fn extend_rest(&self, until: Microseconds) -> Option<Microseconds> {
         let previous_us = self
             .rests_until_us
@@ -99,12 +103,12 @@
     }
 }
 
-/// Until when nothing may be sent to a target, in microseconds.
+/// Time until which nothing may be sent to a target, in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ClosedUntil(u64);
 
 impl ClosedUntil {
-    /// That of a target that leaves.
+    /// Value for a target that leaves.
     const PERMANENT: Self = Self(u64::MAX);
 
     /// Whether the target leaves.
@@ -112,7 +116,7 @@
         self == Self::PERMANENT
     }
 
-    /// The end of a rest, if that is not over at `now`.
+    /// The end of the rest, if it is not over at `now`.
     pub(crate) fn rest(self, now: Microseconds) -> Option<Microseconds> {
         let is_resting = !self.is_permanent() && self.0 > now.count();
         is_resting.then_some(Microseconds::new(self.0))
@@ -124,8 +128,8 @@
     }
 }
 
-/// A copy of [`ClosedUntil`] beside what else is read of a target when one is chosen, so that a pick follows no further
-/// pointer for each target that it looks at.
+/// A copy of [`ClosedUntil`] beside the other fields that the choice of a target reads, so that the choice follows no
+/// further pointer for each target that it considers.
 #[derive(Debug)]
 pub(crate) struct CachedClosedUntil(AtomicU64);
 
--- a/crates/pinhaven-decide/src/recent_runs.rs
+++ b/crates/pinhaven-decide/src/recent_runs.rs
@@ -1,7 +1,7 @@
-//! Runs of targets that a service had lately.
+//! Recent runs of a service's targets.
 //!
-//! They tell a target that has started again from one that is new, also when it was missing from the list
-//! in between, as one that crashes is.
+//! They distinguish a restarted target from a new one, also when the target was missing from the list in between, as
+//! a crashed target is.
 
 use crate::target::TargetState;
 use pinhaven_bundle::Target;
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// How long a run is remembered after it was gone. Who starts again after longer is taken for new.
+/// How long a run is remembered after it was last listed. A target that restarts later counts as new.
 const RETENTION: Microseconds = Microseconds::from_ms(60_000);
 
 #[derive(Debug, Clone, Copy)]
@@ -20,12 +20,12 @@
     last_seen_at: Microseconds,
 }
 
-/// The last run of each target that tells its start.
+/// The last run of each target that has an id and an incarnation.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RecentRuns(HashMap<TargetId, RecentRun>);
 
 impl RecentRuns {
-    /// The runs at the end of a version at `now`: those that were recent in it, and its targets.
+    /// The recent runs after a version ends at `now`: those still remembered, and those of the version's targets.
     pub(crate) fn at_version_end(&self, targets: &[Arc<TargetState>], now: Microseconds) -> Self {
         let mut runs = self.clone();
         runs.0
@@ -43,7 +43,7 @@
         runs
     }
 
-    /// Whether an earlier run of the target was there lately.
+    /// Whether an earlier run of the target is remembered.
     pub(crate) fn has_earlier_run(&self, target: &Target) -> bool {
         let recent = target.id.as_ref().and_then(|id| self.0.get(id));
         recent.is_some_and(|run| target.incarnation > Some(run.incarnation))
--- a/crates/pinhaven-decide/src/service.rs
+++ b/crates/pinhaven-decide/src/service.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of one service, shared by all its requests.
+//! State of one service as this entry knows it, shared by all requests of the service.
 
 use crate::admission::InFlightLimit;
 use crate::atomic::AtomicF32;
@@ -30,43 +30,42 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// Added attempts that may come at once before the budget's share limits them.
+/// Number of added attempts that may be sent in a burst before the budget's share limits them.
 const BUDGET_CAPACITY: f32 = 20.0;
 /// Weight of one answer in the service's typical time.
 const TYPICAL_WEIGHT: f32 = 0.01;
-/// How many times longer work is thought to take at a nearly full target before it was measured.
+/// Slowdown factor of a nearly full target, assumed until it has been observed.
 const CROWDING_INITIAL: f32 = 1.2;
-/// How sure that is, in samples.
+/// Weight of the initial factor, in samples.
 const CROWDING_INITIAL_SAMPLES: u32 = 4;
-/// Time since this entry knows the service during which the last slots of targets are left empty whatever is
-/// thought of them. After an outage of all entries six of ten requests of the first second were begun at
-/// nearly full targets, where work took 1.7 times as long. Credit of the two seconds after the outage: 0.879
-/// to 0.894 (15 runs without processor time).
+/// Time after this entry first sees the service during which the last slots of targets are assumed to be expensive.
+/// After an outage of all entries, six of ten requests of the first second would otherwise begin at nearly full
+/// targets, where work takes 1.7 times as long.
 const CROWDING_CAUTION_PERIOD: Microseconds = Microseconds::from_ms(1_000);
-/// What they are thought to cost then.
+/// Minimum crowding factor during that period.
 const CROWDING_CAUTION_MIN: f32 = 1.6;
-/// Age of a report at which a target should be asked for its speed, as a share of the typical time of
-/// requests. A choice is wrong when the speed has changed since the report, or changes while the request
-/// works; asking much more often than that would mend the smaller of the two.
+/// Age of a report at which a target should be asked for its speed, as a share of the typical time of requests. A
+/// choice is wrong if the speed has changed since the report or changes while the request runs. Asking much more
+/// often would only reduce the first error, which is then the smaller one.
 const REPORT_AGE_TYPICAL_SHARE: f32 = 0.6;
-/// The same as a share of the time that a speed lasts: requests that begin at a target which has turned slow
-/// since are late where work keeps its speed. Where a speed lasts 0.4 s, answers within the aim rise from
-/// 0.945 to 0.958 of the requests of a calm day, for 0.6 times more probes.
+/// Age of a report at which a target should be asked for its speed, as a share of the mean duration of a speed. Where
+/// work keeps its initial speed, requests that begin at a target that has slowed down since its report are late. A
+/// smaller share reduces their number and requires more probes.
 const REPORT_AGE_DURATION_SHARE: f32 = 0.08;
-/// The least and the most of that age, in milliseconds.
+/// Minimum and maximum of that age, in milliseconds.
 const REPORT_AGE_RANGE_MS: (f32, f32) = (20.0, 90.0);
 /// Slowdown from which a target counts as slow in a summary.
 const SLOW_SLOWDOWN_MIN: f32 = 2.0;
-/// Weight of one report in the mean load of the others.
+/// Weight of one report in the mean load from other entries.
 const PEER_LOAD_WEIGHT: f32 = 0.02;
-/// Weight of one request in the share that is refused.
+/// Weight of one request in the share of refused requests.
 const REFUSED_WEIGHT: f32 = 0.02;
-/// The shortest time that a refused caller is sent away for, in milliseconds.
+/// Minimum retry delay of a refused caller, in milliseconds.
 const RETRY_AFTER_MIN_MS: f32 = 100.0;
-/// The longest, in milliseconds.
+/// Maximum retry delay of a refused caller, in milliseconds.
 const RETRY_AFTER_MAX_MS: f32 = 60_000.0;
 
-/// A service as one entry sees it.
+/// State of a service at one entry.
 #[derive(Debug)]
 pub struct ServiceState {
     name: ServiceName,
@@ -76,7 +75,7 @@
     priority: u8,
     domain: Option<FailureDomain>,
     targets: Vec<Arc<TargetState>>,
-    /// Those that this entry owns.
+    /// Targets that this entry owns.
     owned: ArcSwap<Vec<Arc<TargetState>>>,
     listed: Vec<BundledTargetState>,
     recent_runs: RecentRuns,
@@ -101,24 +100,25 @@
     pub(crate) ejections: AtomicU64,
 }
 
-/// Targets of a service, and why requests can't go to some of them; one may count for several reasons.
+/// Number of targets of a service, and of those in states that restrict requests. A target may count in several
+/// states.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TargetSummary {
-    /// All that are known.
+    /// All known targets.
     pub all: u32,
-    /// Those that are leaving.
+    /// Leaving targets.
     pub leaving: u32,
-    /// Those that rest.
+    /// Resting targets.
     pub resting: u32,
-    /// Those that are ejected for failing.
+    /// Targets ejected for failing.
     pub ejected: u32,
-    /// Those that are thought to work at less than half their usual speed.
+    /// Targets whose expected speed is at most half their usual speed.
     pub slow: u32,
-    /// Those whose slots are all taken.
+    /// Targets whose slots are all taken.
     pub full: u32,
 }
 
-/// Added attempts and ejections of a service since the entry began with its bundle version.
+/// Added attempts and ejections of a service since the entry adopted the current bundle version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServiceCounts {
     /// Hedges sent.
@@ -130,8 +130,8 @@
 }
 
 impl ServiceState {
-    /// The state of a service in a new bundle version. Targets that `previous` had are taken over
-    /// with all that is known of them; other targets are cold when there was a `previous`.
+    /// Creates the state of a service in a new bundle version. Targets of `previous` retain their state; other
+    /// targets are cold if there is a `previous`.
     pub fn new(service: &Service, previous: Option<&Self>, now: Microseconds) -> Self {
         let typical_ms = service.typical_ms as f32;
         let recent_runs = previous
@@ -214,8 +214,8 @@
         self.retry_budget.take_over(&previous.retry_budget);
     }
 
-    /// Marks targets that are gone as leaving: requests that began with `previous` choose among its
-    /// targets until they end.
+    /// Marks targets of `previous` that are missing from this version as leaving: requests that began with `previous`
+    /// choose among its targets until they end.
     fn mark_missing_leaving(&self, previous: &Self) {
         let retained: HashSet<*const TargetState> = self.targets.iter().map(Arc::as_ptr).collect();
         let is_missing = |target: &&Arc<TargetState>| !retained.contains(&Arc::as_ptr(target));
@@ -234,12 +234,12 @@
         &self.targets
     }
 
-    /// How the version listed each of them.
+    /// State of each target as listed in this version, in the order of the targets.
     pub(crate) fn listed(&self) -> &[BundledTargetState] {
         &self.listed
     }
 
-    /// The targets that this entry owns, as they were last found.
+    /// The targets that this entry owns, as of the last [`refresh_owned`](Self::refresh_owned).
     pub(crate) fn owned(&self) -> Arc<Vec<Arc<TargetState>>> {
         self.owned.load_full()
     }
@@ -249,7 +249,7 @@
         !self.owned.load().is_empty()
     }
 
-    /// Finds the targets that this entry owns, after it was said of some that it does or does not.
+    /// Updates the list of owned targets after [`TargetState::set_owned`] was called.
     pub fn refresh_owned(&self) {
         let is_owned = |target: &&Arc<TargetState>| target.is_owned();
         let owned = self.targets.iter().filter(is_owned).cloned().collect();
@@ -263,7 +263,7 @@
             .find(|target| target.address() == address)
     }
 
-    /// Requests of the service that are at targets.
+    /// Requests of the service that are in flight at targets.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
@@ -273,12 +273,12 @@
         self.waiting.count()
     }
 
-    /// The most urgent priority of which a request waits at this entry.
+    /// The most urgent priority of the requests that wait at this entry.
     pub fn most_urgent_waiting(&self) -> Option<u8> {
         self.waiting.most_urgent()
     }
 
-    /// Requests that this entry keeps in flight at the most.
+    /// Maximum number of requests that this entry keeps in flight.
     pub fn in_flight_limit(&self) -> f32 {
         self.limit.get()
     }
@@ -297,7 +297,7 @@
         }
     }
 
-    /// Takes in a load report that came by another way than a reply: a probe or another entry.
+    /// Records a load report that this entry received from the target, with an answer or by a probe.
     pub fn record_report(&self, target: &TargetState, now: Microseconds, report: &LoadReport) {
         let peer_load = target.record_report(now, report);
         self.mean_peer_load.blend(peer_load, PEER_LOAD_WEIGHT);
@@ -306,12 +306,12 @@
         }
     }
 
-    /// Takes in what another entry heard of a target's speed at `at`. Returns whether it is news.
+    /// Records the speed that a target reported to another entry at `at`. Returns whether the report is new.
     pub fn record_speed(&self, target: &TargetState, at: Microseconds, slowdown: f32) -> bool {
         target.record_speed(at, slowdown, &self.speed)
     }
 
-    /// How many targets there are and why requests can't go to some of them, for the record.
+    /// Counts the targets and those in states that restrict requests.
     pub fn summary(&self, now: Microseconds) -> TargetSummary {
         let mut summary = TargetSummary::default();
         for target in &self.targets {
@@ -327,7 +327,7 @@
         summary
     }
 
-    /// Share of the slots of all targets that take work at `now` that requests of all entries hold, as far as is known.
+    /// Share of slots held by the requests of all entries, as far as known, over all targets that take work at `now`.
     pub fn utilization(&self, now: Microseconds) -> f32 {
         let (mut held, mut slots) = (0.0, 0.0);
         for target in self.targets.iter().filter(|target| !target.is_closed(now)) {
@@ -337,12 +337,12 @@
         if slots > 0.0 { held / slots } else { 0.0 }
     }
 
-    /// How long a target's speed lasts on average, in milliseconds.
+    /// Mean duration of a target's speed, in milliseconds.
     pub fn speed_duration_ms(&self) -> f32 {
         self.speed.lasting_ms()
     }
 
-    /// The age of a report at which a target should be asked for its speed.
+    /// Age of a report at which a target should be asked for its speed.
     pub fn desired_report_age(&self) -> Microseconds {
         let age_ms = (self.typical_ms() * REPORT_AGE_TYPICAL_SHARE)
             .min(self.speed_duration_ms() * REPORT_AGE_DURATION_SHARE)
@@ -350,20 +350,20 @@
         Microseconds::new((age_ms * 1_000.0) as u64)
     }
 
-    /// Sets how many added attempts this entry may make at once. What all entries may together is
-    /// divided among them by whoever knows them.
+    /// Sets how many hedges and retries this entry may send in a burst. The caller divides the total of all entries
+    /// among them.
     pub fn set_added_attempt_burst(&self, hedges: f32, retries: f32) {
         self.hedge_budget.set_capacity(hedges);
         self.retry_budget.set_capacity(retries);
     }
 
-    /// The same as an entry in `domain` sees it.
+    /// Sets the failure domain of this entry.
     pub fn with_domain(mut self, domain: &FailureDomain) -> Self {
         self.domain = Some(domain.clone());
         self
     }
 
-    /// Whether a target stands in this entry's failure domain, or that is not known.
+    /// Whether a target is in this entry's failure domain, or the domain of this entry is unknown.
     pub(crate) fn is_near(&self, target: &TargetState) -> bool {
         let domain = self.domain.as_ref();
         domain.is_none_or(|domain| domain == target.failure_domain())
@@ -373,8 +373,7 @@
         self.hedges.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How many times longer work is thought to take at a nearly full target, where it is decided whether to
-    /// fill one.
+    /// Slowdown factor of a nearly full target, for the decision whether to fill one.
     pub(crate) fn admission_crowding(&self, now: Microseconds) -> f32 {
         let learned = self.crowding.get();
         if now.saturating_sub(self.first_seen_at) < CROWDING_CAUTION_PERIOD {
@@ -431,7 +430,7 @@
         self.refused_share.blend(sample, REFUSED_WEIGHT);
     }
 
-    /// Takes an answer in: its time, and the report that came with it.
+    /// Records an answer: its latency, and the load report that came with it.
     pub(crate) fn record_answer(
         &self,
         target: &TargetState,
@@ -451,25 +450,25 @@
         self.typical_ms.blend(service_ms.max(0.1), TYPICAL_WEIGHT);
     }
 
-    /// Takes a failure in.
+    /// Records a failure of a target.
     pub(crate) fn record_failure(&self, target: &TargetState, now: Microseconds) {
         if health::record_failure(self, target, now) {
             self.ejections.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Time until a target that holds `load` requests begins on another one, in milliseconds.
+    /// Predicted time until a target that holds `load` requests begins another one, in milliseconds.
     pub(crate) fn predicted_wait_ms(&self, load: f32) -> f32 {
         (load + 1.0 - self.slots).max(0.0) * self.typical_ms() / self.slots
     }
 
-    /// Time until a request that begins to wait at this entry is sent, in milliseconds.
+    /// Predicted time until a request that begins to wait at this entry is sent, in milliseconds.
     pub(crate) fn predicted_queue_wait_ms(&self) -> f32 {
         (self.waiting() + 1) as f32 * self.typical_ms() / self.limit.get()
     }
 
-    /// When a refused caller should come back, in milliseconds: after the backlog has drained at the
-    /// measured rate, longer the more are refused, and spread so that callers don't return together.
+    /// Retry delay of a refused caller, in milliseconds: the time to drain the backlog at the measured rate, longer
+    /// the more requests are refused, with jitter so that callers don't return together.
     pub(crate) fn retry_after_ms(&self, random: &mut fastrand::Rng) -> u64 {
         let backlog = self.waiting() as f32 + self.in_flight() as f32;
         let drain_ms = backlog * self.typical_ms() / self.limit.get();
--- a/crates/pinhaven-decide/src/service_targets.rs
+++ b/crates/pinhaven-decide/src/service_targets.rs
@@ -1,4 +1,4 @@
-//! The targets of a new version of a service: who is known from before, and what of it still holds.
+//! The targets of a new version of a service, with the state of those that are known from the previous version.
 
 use crate::lapsed_orders::LapsedOrders;
 use crate::recent_runs::RecentRuns;
@@ -12,14 +12,14 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// What is known of targets from before a new version.
+/// State of targets from before a new version.
 pub(crate) struct PreviousTargets<'state> {
     pub(crate) previous: Option<&'state ServiceState>,
     pub(crate) recent_runs: &'state RecentRuns,
     pub(crate) lapsed_orders: &'state LapsedOrders,
 }
 
-/// The targets of `service` at `now`. Runs that are known are taken over with all that is known of them.
+/// Builds the states of the targets of `service` at `now`. Runs that are known retain their state.
 pub(crate) fn build_targets(
     service: &Service,
     previous_targets: &PreviousTargets<'_>,
@@ -64,9 +64,9 @@
     service.targets.iter().map(build_target).collect()
 }
 
-/// Whether operators have put a target back that they had listed as leaving. A target that said so
-/// itself stays away, however often later versions repeat that it is live. So does a run that left: that
-/// it is live was said before.
+/// Whether operators have listed a target as live again that they had listed as leaving. A target that itself
+/// reported that it leaves is not reinstated, however often later versions list it as live. Nor is a target with an
+/// incarnation: it was listed as live before it left, so that `live` is stale, and a restart has another incarnation.
 fn is_reinstated(before: BundledTargetState, after: &Target) -> bool {
     let has_changed_to_live =
         before == BundledTargetState::Leaving && after.state == BundledTargetState::Live;
--- a/crates/pinhaven-decide/src/target.rs
+++ b/crates/pinhaven-decide/src/target.rs
@@ -1,8 +1,8 @@
-//! What an entry knows of one target, all of it stale or its own.
+//! State of one target as this entry knows it, either stale or from this entry's own requests.
 //!
-//! Three things are known: the entry's own requests in flight, exactly; the load of the others, from
-//! the last report and fading towards the service's mean as it ages; and how long the own requests
-//! have been under way, which shows a sudden slowness before any reply does.
+//! The state has three parts: the exact number of this entry's own requests in flight; the load from other entries,
+//! which decays from the last report towards the service's mean as the report ages; and the time that own requests
+//! have been in flight, which reveals a sudden slowdown before any answer arrives.
 
 mod eligibility;
 
@@ -27,24 +27,26 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// Weight of a new latency in a target's short memory.
+/// Weight of a new latency in the recent latency of a target.
 const LATENCY_WEIGHT: f32 = 0.3;
-/// Age at which half of a remembered latency has faded, in milliseconds.
+/// Age at which half of a recorded latency excess has decayed, in milliseconds. The next sample replaces an older
+/// latency.
 const LATENCY_HALF_LIFE_MS: f32 = 200.0;
-/// Age at which half of a failure's penalty has faded, in milliseconds.
+/// Age at which half of a failure penalty has decayed, in milliseconds.
 const PENALTY_HALF_LIFE_MS: f32 = 500.0;
-/// Time that a cold target takes to get its full share.
+/// Time until a cold target gets its full share.
 const WARM_UP: Microseconds = Microseconds::from_ms(2_000);
-/// Share that a cold target begins with.
+/// Initial share of a cold target.
 const WARM_SHARE_MIN: f32 = 0.1;
-/// Age up to which a report is recent, in times that a speed lasts.
+/// Maximum age of a recent report, in mean durations of a speed.
 const RECENT_SPEED_DURATIONS: f32 = 2.0;
-/// The most of that age, in milliseconds; a service whose targets never changed may begin to.
+/// Upper bound of that age, in milliseconds, because the speeds of a service whose targets have never changed may
+/// begin to change.
 const RECENT_MAX_MS: f32 = 2_000.0;
-/// A request counts as overdue past this many typical times.
+/// Age from which a request counts as overdue, in typical times.
 const OVERDUE_TYPICAL_TIMES: f32 = 2.0;
 
-/// A target as one entry sees it.
+/// State of a target at one entry.
 #[derive(Debug)]
 pub struct TargetState {
     address: TargetAddress,
@@ -70,43 +72,42 @@
     pub(crate) ejections: AtomicU32,
     pub(crate) ejected_until_us: AtomicU64,
     is_leaving: AtomicBool,
-    /// Shared by all states of this run, if it is gone for a time and comes back.
+    /// Orders, shared by all states of this run so that they survive a temporary absence from the list.
     orders: Arc<OrderState>,
     closed_until: CachedClosedUntil,
     is_owned: AtomicBool,
     crashes: CrashCount,
-    /// Requests of this entry that it may hold.
+    /// Maximum number of this entry's requests in flight at the target.
     in_flight_max: AtomicU32,
 }
 
-/// What is known of a target, for people and metrics.
+/// State of a target, for display and metrics.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetView {
-    /// Where it listens.
+    /// Address where the target listens.
     pub address: TargetAddress,
-    /// Where it stands.
+    /// Failure domain of the target.
     pub failure_domain: FailureDomain,
-    /// Requests of this entry that it holds.
+    /// Requests of this entry in flight at the target.
     pub in_flight: u32,
-    /// Requests of others that it is thought to hold.
+    /// Estimated requests of other entries at the target.
     pub peer_load: f32,
-    /// Its recent latency, in milliseconds.
+    /// Recent latency, in milliseconds.
     pub latency_ms: f32,
-    /// Whether it is ejected for failing.
+    /// Whether the target is ejected for failing.
     pub is_ejected: bool,
-    /// Whether it is leaving.
+    /// Whether the target is leaving.
     pub is_leaving: bool,
-    /// What is left of the rest that it asked for, in milliseconds.
+    /// Remaining time of the rest that the target asked for, in milliseconds.
     pub rests_for_ms: Option<f64>,
-    /// How many times longer than usual work takes there, as it last said.
+    /// Slowdown relative to the usual speed, as last reported.
     pub slowdown: f32,
-    /// Age of that report, in milliseconds; `None` when it never said.
+    /// Age of that report, in milliseconds; `None` if there is none.
     pub report_age_ms: Option<f64>,
 }
 
 impl TargetState {
-    /// A target nothing is known of, first seen at `now`. A cold one gets its share little by little
-    /// from `cold_since` on.
+    /// Creates the state of a target first seen at `now`. The share of a cold target grows from `cold_since` on.
     pub fn new(
         target: &Target,
         slots: u32,
@@ -145,49 +146,49 @@
         }
     }
 
-    /// The same for a target that has started again: it gets one request of this entry, and one more with
-    /// each good answer. One that crashes time and again so takes no more than its answers earn.
+    /// Limits a restarted target to one request of this entry, and one more for each successful answer, so that a
+    /// target that crashes repeatedly gets no more work than it answers.
     pub(crate) fn with_slow_start(mut self) -> Self {
         self.in_flight_max = AtomicU32::new(1);
         self
     }
 
-    /// Where it listens.
+    /// Address where the target listens.
     pub fn address(&self) -> TargetAddress {
         self.address
     }
 
-    /// Where it stands.
+    /// Failure domain of the target.
     pub fn failure_domain(&self) -> &FailureDomain {
         &self.failure_domain
     }
 
-    /// Its id, if it is known.
+    /// Id of the target, if known.
     pub fn id(&self) -> Option<&TargetId> {
         self.id.as_ref()
     }
 
-    /// Its id, or its address if it has none.
+    /// Id of the target, or its address if it has no id.
     pub fn name(&self) -> String {
         let id = self.id.as_ref().map(ToString::to_string);
         id.unwrap_or_else(|| self.address.to_string())
     }
 
-    /// Its run, if it tells its start.
+    /// Run of the target, if it publishes its start time.
     pub fn incarnation(&self) -> Option<TargetIncarnation> {
         self.incarnation
     }
 
-    /// Whether it is the one that is described: the same run of the same target, as far as the description
-    /// tells its start. Lists of entries of older versions leave that out, and nothing is forgotten for it.
+    /// Whether `described` is the same run of the same target. A description without an incarnation matches any run:
+    /// lists from entries of older versions omit the incarnation, and the state must survive them.
     pub fn is_same_run(&self, described: &Target) -> bool {
         let is_different_run =
             described.incarnation.is_some() && described.incarnation != self.incarnation;
         self.id == described.id && !is_different_run
     }
 
-    /// Short key by which entries name it among themselves; `None` without an id. It covers the run, so
-    /// that late news of an earlier one names nothing.
+    /// Short key by which entries identify the target among themselves; `None` without an id. The key covers the run,
+    /// so that a late update about an earlier run matches no target.
     pub fn key(&self) -> Option<u32> {
         let id = self.id.as_ref()?.as_str().as_bytes();
         let digest = match self.incarnation {
@@ -197,22 +198,22 @@
         Some(digest.short() as u32)
     }
 
-    /// Requests that it works on at a time.
+    /// Number of requests that the target works on at a time.
     pub fn slots(&self) -> f32 {
         self.slots
     }
 
-    /// Requests of this entry that it holds.
+    /// Requests of this entry in flight at the target.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Requests of the other entries that it holds, as they last said.
+    /// Requests of other entries in flight at the target, as they last advertised.
     pub fn peers_in_flight(&self) -> u32 {
         self.peers_in_flight.load(Ordering::Relaxed)
     }
 
-    /// Takes in that another entry, which had said `before`, now has `after` requests there.
+    /// Records that another entry now has `after` requests in flight at the target instead of `before`.
     pub fn record_peer_in_flight(&self, before: u32, after: u32) {
         if after >= before {
             self.peers_in_flight
@@ -223,20 +224,20 @@
         }
     }
 
-    /// What it last said of its speed, and when; `None` when it never did.
+    /// Last reported slowdown and its time; `None` if there is none.
     pub fn reported_speed(&self) -> Option<(f32, Microseconds)> {
         self.speed.last()
     }
 
-    /// What it last told this entry itself of its speed, and when. What other entries were told is
-    /// not passed on, so that no report goes round in circles.
+    /// Last slowdown that the target reported to this entry directly, and its time. Reports received from peers are
+    /// excluded, so that entries don't relay a report in circles.
     pub fn directly_reported_speed(&self) -> Option<(f32, Microseconds)> {
         let direct_at_us = self.direct_report_at_us.load(Ordering::Relaxed);
         let last = self.speed.last();
         last.filter(|(_, at)| at.count() == direct_at_us)
     }
 
-    /// Takes in what it told this entry of its speed at `now`.
+    /// Records the slowdown that the target reported to this entry at `now`.
     pub(crate) fn record_direct_speed(
         &self,
         now: Microseconds,
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Takes in what it said of its speed at `at`. Returns whether that is news.
+    /// Records the slowdown that the target reported at `at`. Returns whether the report is new.
     pub(crate) fn record_speed(
         &self,
         at: Microseconds,
@@ -259,39 +260,39 @@
         self.speed.record(at, slowdown, service)
     }
 
-    /// The slowdown to be expected at `now`.
+    /// The expected slowdown at `now`.
     pub(crate) fn expected_slowdown(&self, now: Microseconds, service: &ServiceSpeed) -> f32 {
         self.speed.expected(now, service)
     }
 
-    /// Whether it has said so recently that its speed may well be the same.
+    /// Whether the last report is recent enough that the speed may be unchanged.
     pub(crate) fn has_recent_report(&self, now: Microseconds, service: &ServiceSpeed) -> bool {
         let age = self.speed.last().map(|(_, at)| now.saturating_sub(at));
         let recent_ms = (service.lasting_ms() * RECENT_SPEED_DURATIONS).min(RECENT_MAX_MS);
         age.is_some_and(|age| age.as_ms() as f32 <= recent_ms)
     }
 
-    /// Whether it is still slow from its start.
+    /// Whether the target still works slowly after its start.
     pub(crate) fn is_cold(&self, now: Microseconds) -> bool {
         now < self.cold_until
     }
 
-    /// Whether this entry owns it, and goes there before others do.
+    /// Whether this entry owns the target and sends requests there before other entries do.
     pub fn is_owned(&self) -> bool {
         self.is_owned.load(Ordering::Relaxed)
     }
 
-    /// Says whether this entry owns it.
+    /// Sets whether this entry owns the target.
     pub fn set_owned(&self, is_owned: bool) {
         self.is_owned.store(is_owned, Ordering::Relaxed);
     }
 
-    /// Whether it is ejected at `now`.
+    /// Whether the target is ejected at `now`.
     pub fn is_ejected(&self, now: Microseconds) -> bool {
         self.ejected_until_us.load(Ordering::Relaxed) > now.count()
     }
 
-    /// What is known of it at `now`.
+    /// A snapshot of the state at `now`.
     pub fn view(&self, now: Microseconds) -> TargetView {
         TargetView {
             address: self.address,
@@ -312,38 +313,38 @@
         }
     }
 
-    /// Whether this entry may send it one more request, by what its answers have earned and by the
-    /// connections that it takes.
+    /// Whether this entry may send one more request to the target, by its in-flight limit and the connections that it
+    /// accepts.
     fn has_capacity(&self, connections_max: u32) -> bool {
         let in_flight_max = self.in_flight_max.load(Ordering::Relaxed);
         self.in_flight() < in_flight_max.min(connections_max)
     }
 
-    /// Takes in that it answered well.
+    /// Raises the in-flight limit by one after a successful answer, if there is a limit.
     pub(crate) fn raise_in_flight_max(&self) {
         let in_flight_max = self.in_flight_max.load(Ordering::Relaxed);
         if in_flight_max != u32::MAX {
-            // Two answers at a time may count as one.
+            // Two concurrent answers may raise the limit only once.
             self.in_flight_max
                 .store(in_flight_max + 1, Ordering::Relaxed);
         }
     }
 
-    /// Counts a request in. The sum of starts is written first and read last, so that a racing
-    /// reader sees requests as younger than they are, never older.
+    /// Counts a request as begun. The sum of start times is written first and read last, so that a racing reader sees
+    /// requests as younger than they are, never older.
     pub(crate) fn begin(&self, now: Microseconds) {
         self.start_sum_us.fetch_add(now.count(), Ordering::Release);
         self.in_flight.fetch_add(1, Ordering::Release);
     }
 
-    /// Counts a request out that was counted in at `started`.
+    /// Counts a request as ended that was begun at `started`.
     pub(crate) fn end(&self, started: Microseconds) {
         self.in_flight.fetch_sub(1, Ordering::Release);
         self.start_sum_us
             .fetch_sub(started.count(), Ordering::Release);
     }
 
-    /// Takes a report in. What the target holds beyond the own requests is the others'.
+    /// Records a load report. Requests at the target beyond this entry's own count as peer load, which is returned.
     pub(crate) fn record_report(&self, now: Microseconds, report: &LoadReport) -> f32 {
         let peer_load = report.outstanding().saturating_sub(self.in_flight()) as f32;
         self.peer_load.set(peer_load);
@@ -353,7 +354,7 @@
         peer_load
     }
 
-    /// Takes the time of an answer in.
+    /// Records the latency of an answer.
     pub(crate) fn record_latency(&self, now: Microseconds, latency: Microseconds) {
         let sample = latency.as_ms() as f32;
         let weight = if self.age_ms(&self.latency_at_us, now) > LATENCY_HALF_LIFE_MS {
@@ -365,14 +366,14 @@
         self.latency_at_us.store(now.count(), Ordering::Relaxed);
     }
 
-    /// Takes in that a request had no answer after `age`, when it was given up on.
+    /// Records that a request was abandoned at `age` without an answer. The age is a lower bound of its latency.
     pub(crate) fn record_censored(&self, now: Microseconds, age: Microseconds) {
         if age.as_ms() as f32 > self.latency_ms.get() {
             self.record_latency(now, age);
         }
     }
 
-    /// Takes in that the target answered well.
+    /// Records the time of a successful answer.
     pub(crate) fn record_response(&self, now: Microseconds) {
         self.responded_at_us.store(now.count(), Ordering::Relaxed);
     }
@@ -384,7 +385,7 @@
         self.penalty_at_us.store(now.count(), Ordering::Relaxed);
     }
 
-    /// Starts the target's share anew from a small one.
+    /// Restarts the target's warm-up at `from`, with the minimum share.
     pub(crate) fn start_warm_up(&self, from: Microseconds) {
         self.warm_up_from_us
             .store(from.count().max(1), Ordering::Relaxed);
@@ -413,7 +414,7 @@
         )
     }
 
-    /// Requests of others, fading from the last report to the service's mean.
+    /// Requests of other entries at `now`, which decay from the last report to the service's mean.
     pub(crate) fn peer_load_at(&self, now: Microseconds, mean: f32, half_life_ms: f32) -> f32 {
         let difference = self.peer_load.get() - mean;
         mean + decay(
@@ -423,7 +424,7 @@
         )
     }
 
-    /// How much the recent latency exceeds the typical one, as a multiple of it.
+    /// Excess of the recent latency over the typical one, as a multiple of the typical one.
     pub(crate) fn latency_excess(&self, now: Microseconds, typical_ms: f32) -> f32 {
         let excess = (self.latency_ms.get() / typical_ms - 1.0).max(0.0);
         decay(
@@ -433,7 +434,7 @@
         )
     }
 
-    /// Own requests that are overdue, counted in typical times past the first two.
+    /// Total age of this entry's requests in flight beyond two typical times each, in typical times.
     pub(crate) fn overdue(&self, now: Microseconds, typical_ms: f32) -> f32 {
         let in_flight = self.in_flight.load(Ordering::Acquire);
         if in_flight == 0 {
@@ -441,13 +442,13 @@
         }
         let start_sum = self.start_sum_us.load(Ordering::Acquire);
         let now_sum = now.count().wrapping_mul(u64::from(in_flight));
-        // A sum that another thread has already added to gives a negative age; it counts as none.
+        // A sum that another thread has already added to gives a negative age, which counts as zero.
         let age_sum_us = now_sum.wrapping_sub(start_sum) as i64;
         let age_sum = age_sum_us.max(0) as f32 / (typical_ms * 1_000.0);
         (age_sum - OVERDUE_TYPICAL_TIMES * in_flight as f32).max(0.0)
     }
 
-    /// Time since the target answered well, in milliseconds.
+    /// Time since the last successful answer, in milliseconds.
     pub(crate) fn silence_ms(&self, now: Microseconds) -> f32 {
         self.age_ms(&self.responded_at_us, now)
     }
@@ -457,7 +458,7 @@
     }
 }
 
-/// What is left of `value` at an age; half of it at `half_ms`.
+/// Hyperbolic decay: the remainder of `value` at an age, half of it at `half_life_ms`.
 fn decay(value: f32, age_ms: f32, half_life_ms: f32) -> f32 {
     value * half_life_ms / (half_life_ms + age_ms)
 }
