--- a/crates/pinhaven-decide/tests/measuring.rs
+++ b/crates/pinhaven-decide/tests/measuring.rs
@@ -1,4 +1,4 @@
-//! The budget of measuring, over a change of holders and at any moment.
+//! The probe budget, across changes of holders and in any window.
 
 mod common;
 
@@ -20,8 +20,8 @@
     ProbeBudget::new(&Measuring::default(), &service_with(1, fields), now)
 }
 
-/// The most slot time spent in any window, in milliseconds.
-fn most_in_window_ms(probes_ms: &[u64]) -> u64 {
+/// Maximum slot time spent in any window, in milliseconds.
+fn max_in_window_ms(probes_ms: &[u64]) -> u64 {
     let window_ms = Measuring::default().window_ms;
     probes_ms
         .iter()
@@ -56,14 +56,14 @@
     let mut budget = budget(0.5, 6, at_ms(0));
     let first = budget.next_at().unwrap();
     assert!(budget.take(first));
-    let usual = budget.next_at().unwrap();
+    let unchanged_next = budget.next_at().unwrap();
     budget.record(Microseconds::from_ms(PROBE_MS * 10));
-    assert!(budget.next_at().unwrap() > usual);
+    assert!(budget.next_at().unwrap() > unchanged_next);
 }
 
-/// Holders follow each other at random times; each may send one probe that it had asked for just
-/// before it was paused.
-fn windows_hold(percent_tenths: u8, slots: u8, moves: Vec<u8>) -> bool {
+/// Holders follow each other at random times. Each may send one probe that it took from the budget just before it was
+/// paused.
+fn windows_hold(percent_tenths: u8, slots: u8, steps: Vec<u8>) -> bool {
     let percent = f64::from(percent_tenths % 40) / 10.0;
     let slots = u32::from(slots % 8) + 1;
     let allowed_ms = percent / 100.0 * f64::from(slots) * Measuring::default().window_ms as f64;
@@ -71,7 +71,7 @@
     let mut probes_ms = Vec::new();
     let mut holder = budget(percent, slots, at_ms(0));
     let mut last_change_ms = 0;
-    for step in moves {
+    for step in steps {
         time_ms += u64::from(step) * 20;
         let has_changed = step % 16 == 0 && time_ms - last_change_ms > 20_000;
         if has_changed {
@@ -85,7 +85,7 @@
             probes_ms.push(time_ms);
         }
     }
-    most_in_window_ms(&probes_ms) as f64 <= allowed_ms
+    max_in_window_ms(&probes_ms) as f64 <= allowed_ms
 }
 
 #[test]
@@ -98,8 +98,8 @@
     assert_eq!(promise_violations(), before);
 }
 
-/// Entries that disagree on whose turn it is may all probe one target; together they stay within what
-/// is allowed in any second.
+/// Entries that disagree on the holder may all probe one target. Together they stay within the permitted rate in any
+/// second.
 #[test]
 fn several_entries_that_probe_one_target_stay_within_the_rate_together() {
     let mut paces = [ProbePace::new(60), ProbePace::new(60), ProbePace::new(60)];
@@ -117,9 +117,12 @@
             .filter(|at| (*start..start + 1_000).contains(at))
             .count()
     };
-    let most = times_ms.iter().map(in_second).max().unwrap();
-    assert!(most <= 60, "{most}");
-    assert!(most > 30, "{most} would be far too few");
+    let max_per_second = times_ms.iter().map(in_second).max().unwrap();
+    assert!(max_per_second <= 60, "{max_per_second}");
+    assert!(
+        max_per_second > 30,
+        "{max_per_second} probes a second are too few"
+    );
 }
 
 #[test]
--- a/crates/pinhaven-decide/tests/orders.rs
+++ b/crates/pinhaven-decide/tests/orders.rs
@@ -1,4 +1,4 @@
-//! What targets ask for with their answers: to be left, or to be let rest.
+//! Orders that targets send with their answers: to leave, or to rest.
 
 mod common;
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Lets some targets ask for a rest at `time_ms`.
+/// Makes some targets ask for a rest at `time_ms`.
 fn rest(service: &ServiceState, targets: &[usize], time_ms: u64, rest_ms: u64) {
     for target in targets {
         service.targets()[*target].record_orders(&rest_of(rest_ms), at_ms(time_ms));
@@ -64,20 +64,19 @@
     AttemptOutcome::Shed { report: None }
 }
 
-/// Ends an attempt.
 fn end(request: &mut Driven, attempt: usize, time_ms: u64, outcome: AttemptOutcome) {
     let attempt = request.attempts[attempt].take().unwrap().id;
     request.handle(time_ms, Event::AttemptEnded { attempt, outcome });
 }
 
-/// The same service without any target.
+/// The service without any target.
 fn empty_list() -> Service {
     let mut service = listed(EARLIER);
     service.targets.clear();
     service
 }
 
-/// A service with one target, in this run.
+/// A service with one target in the given run.
 fn listed(incarnation: u64) -> Service {
     let service = json!({
         "name": "quote", "hosts": ["quote"], "slots": 6, "policy": "forecast",
@@ -96,10 +95,10 @@
 #[test]
 fn a_target_that_says_that_it_leaves_is_chosen_no_more() {
     let service = service(2, 4);
-    let news = service.targets()[0].record_orders(&LEAVES, at_ms(0));
-    assert!(news.leaves);
-    let again = service.targets()[0].record_orders(&LEAVES, at_ms(5));
-    assert!(!again.leaves, "it is no news any more");
+    let changes = service.targets()[0].record_orders(&LEAVES, at_ms(0));
+    assert!(changes.leaves);
+    let repeated = service.targets()[0].record_orders(&LEAVES, at_ms(5));
+    assert!(!repeated.leaves, "a repeated order is not a change");
     for time_ms in 10..30 {
         let request = Driven::new(&service, true, time_ms);
         assert_eq!(request.target(0), 1);
@@ -111,14 +110,14 @@
 fn no_later_list_that_names_a_target_as_live_outweighs_its_own_word() {
     let first = state_of(&listed(EARLIER), None, 0);
     first.targets()[0].record_orders(&LEAVES, at_ms(10));
-    let mut changed = listed(EARLIER);
-    changed.slots = 5;
-    let second = state_of(&changed, Some(&first), 1_000);
+    let mut updated = listed(EARLIER);
+    updated.slots = 5;
+    let second = state_of(&updated, Some(&first), 1_000);
     assert!(second.targets()[0].is_leaving());
     let restarted = state_of(&listed(LATER), Some(&second), 2_000);
     assert!(
         !restarted.targets()[0].is_leaving(),
-        "a later run is another"
+        "a later run has its own orders"
     );
 }
 
@@ -173,7 +172,11 @@
     rest(&service, &[first], 1, 3_000);
     end(&mut request, 0, 2, AttemptOutcome::Closed);
     assert_eq!(request.target(1), 1 - first);
-    assert_eq!(service.counts().retries, 0, "it costs no budget");
+    assert_eq!(
+        service.counts().retries,
+        0,
+        "takes nothing from the retry budget"
+    );
     rest(&service, &[1 - first], 3, 2_000);
     end(&mut request, 1, 3, AttemptOutcome::Closed);
     let refusal = refusal_of(&request);
@@ -216,7 +219,10 @@
     let mut first = Driven::new(&service, true, 1_000);
     assert_eq!(first.attempts.len(), 1);
     let mut second = Driven::new(&service, true, 1_001);
-    assert!(second.attempts.is_empty(), "it waits for the first answer");
+    assert!(
+        second.attempts.is_empty(),
+        "the second request waits for the first answer"
+    );
     first.answer(0, 1_030);
     second.wait(1_050);
     let third = Driven::new(&service, true, 1_051);
@@ -229,7 +235,7 @@
         let service = state_with(2, json!({"policy": policy}));
         rest(&service, &[0], 0, 5_000);
         rest(&service, &[1], 0, 3_000);
-        let told: Vec<u64> = (0..20)
+        let delays_ms: Vec<u64> = (0..20)
             .map(|number| {
                 let refusal = refusal_of(&Driven::new(&service, number % 2 == 0, 1_000));
                 assert_eq!(refusal.reason, RefusalReason::Resting, "{policy}");
@@ -237,8 +243,11 @@
                 refusal.retry_after_ms
             })
             .collect();
-        assert_eq!(told[0], 2_000, "{policy}");
-        assert!(told.is_sorted() && told[19] > told[0], "{policy}: {told:?}");
+        assert_eq!(delays_ms[0], 2_000, "{policy}");
+        assert!(
+            delays_ms.is_sorted() && delays_ms[19] > delays_ms[0],
+            "{policy}: {delays_ms:?}"
+        );
     }
 }
 
@@ -251,7 +260,7 @@
     assert!(waiting.attempts.is_empty() && waiting.step.actions.is_empty());
     waiting.wait(50);
     assert_eq!(waiting.target(0), 0);
-    // One that waits when all begin to rest has its answer at the next look.
+    // A request that waits when all targets begin to rest is refused at the next check.
     let busy = self::service(1, 1);
     let _holder = Driven::new(&busy, true, 0);
     let mut queued = Driven::new(&busy, true, 1);
@@ -278,9 +287,9 @@
 fn a_rest_outlasts_new_lists_and_configurations_and_ends_with_the_run() {
     let first = state_of(&listed(EARLIER), None, 0);
     rest(&first, &[0], 10, 60_000);
-    let mut changed = listed(EARLIER);
-    changed.slots = 5;
-    let second = state_of(&changed, Some(&first), 1_000);
+    let mut updated = listed(EARLIER);
+    updated.slots = 5;
+    let second = state_of(&updated, Some(&first), 1_000);
     assert!(second.targets()[0].rests_until(at_ms(1_000)).is_some());
     let restarted = state_of(&listed(LATER), Some(&second), 2_000);
     assert!(restarted.targets()[0].send_permit(at_ms(2_000)).is_ok());
--- a/crates/pinhaven-decide/tests/restarts.rs
+++ b/crates/pinhaven-decide/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under their id, as an entry sees them.
+//! Targets that restart under the same id, as an entry sees them.
 
 mod common;
 
@@ -15,7 +15,7 @@
 const EARLIER: u64 = 1_764_720_000_000;
 const LATER: u64 = EARLIER + 60_000;
 
-/// A service of one target, run by run.
+/// A service with one target in the given run and listed state.
 fn service(incarnation: Option<u64>, state: &str) -> Service {
     let mut target = json!({
         "id": "i-1", "address": "127.0.0.1:9000", "failure_domain": "domain-0", "state": state,
@@ -35,7 +35,7 @@
     serde_json::from_value(service).unwrap()
 }
 
-/// The state of the service, and of the same service at a later time.
+/// The state of a service, and its state in a later version.
 fn two_versions(before: &Service, after: &Service) -> (Arc<ServiceState>, Arc<ServiceState>) {
     let before = Arc::new(ServiceState::new(before, None, at_ms(0)));
     let next = next_version(&before, after, 1_000);
@@ -63,7 +63,7 @@
     assert_eq!(target.reported_speed(), None);
     assert!(
         before.targets()[0].is_leaving(),
-        "requests that began before choose it no more"
+        "requests that began earlier no longer choose it"
     );
 }
 
@@ -92,8 +92,8 @@
     assert!(Arc::ptr_eq(&before.targets()[0], &after.targets()[0]));
 }
 
-/// Lists of entries of older versions, which leave the start out, alternate with others while new entries
-/// are rolled out.
+/// While new entries are rolled out, lists from entries of older versions, which omit the incarnation, alternate with
+/// lists that contain it.
 #[test]
 fn what_is_known_of_a_run_is_kept_when_a_list_leaves_its_start_out() {
     let (before, without) = two_versions(&service(Some(EARLIER), "live"), &service(None, "live"));
@@ -113,7 +113,7 @@
     assert!(after.targets()[0].is_leaving());
 }
 
-/// Operators put targets back that tell no start.
+/// Operators can reinstate targets that publish no start time.
 #[test]
 fn a_target_without_a_start_comes_back_as_it_is_listed() {
     let (_, after) = two_versions(&service(None, "leaving"), &service(None, "live"));
@@ -131,7 +131,7 @@
     assert_ne!(key_of(Some(EARLIER)), key_of(None));
 }
 
-/// A target that crashes with each request took a full share of the work after each start.
+/// Guards against a target that crashes with each request and gets a full share of the work after each start.
 #[test]
 fn a_target_that_started_again_gets_as_much_work_as_its_answers_earn() {
     let (_, after) = two_versions(
@@ -141,13 +141,19 @@
     let mut first = Driven::new(&after, true, 1_010);
     assert_eq!(first.attempts.len(), 1);
     let mut second = Driven::new(&after, true, 1_010);
-    assert!(second.attempts.is_empty(), "nothing was answered yet");
+    assert!(
+        second.attempts.is_empty(),
+        "no request has been answered yet"
+    );
     first.answer(0, 1_030);
     second.handle(1_030, Event::PlaceFreed);
     let third = Driven::new(&after, true, 1_030);
     assert_eq!((second.attempts.len(), third.attempts.len()), (1, 1));
     let fourth = Driven::new(&after, true, 1_030);
-    assert!(fourth.attempts.is_empty(), "one more with each answer");
+    assert!(
+        fourth.attempts.is_empty(),
+        "each answer permits one more request"
+    );
 }
 
 #[test]
@@ -159,7 +165,7 @@
     assert!(Driven::new(&after, true, 1_010).attempts.is_empty());
 }
 
-/// The entry of a target that crashes lapses before the target is back.
+/// The list entry of a crashed target lapses before the target is back.
 #[test]
 fn a_target_that_was_missing_before_it_started_again_has_to_earn_its_share_too() {
     let (_, without) = two_versions(&service(Some(EARLIER), "live"), &with_targets([]));
@@ -186,7 +192,7 @@
     let (_, after) = two_versions(&with_steady(Some(EARLIER)), &with_steady(Some(LATER)));
     for _ in 0..20 {
         let driven = Driven::new(&after, true, 1_010);
-        assert_eq!(driven.target(0), 0, "work takes longer at a cold one");
+        assert_eq!(driven.target(0), 0, "work takes longer at a cold target");
     }
 }
 
