--- a/crates/pinhaven-decide/src/advertised.rs
+++ b/crates/pinhaven-decide/src/advertised.rs
@@ -35,7 +35,7 @@
         &mut self,
         target: u32,
         state: AdvertisedState,
-        is_whole: bool,
+        is_full_round: bool,
         now: Microseconds,
     ) -> bool {
         let advertised = self.0.entry(target).or_default();
@@ -46,7 +46,7 @@
         }
         advertised.state = state;
         let is_recent = now.saturating_sub(advertised.changed_at) < REPEAT_PERIOD;
-        is_report_new || has_changed || (is_whole && (state.in_flight > 0 || is_recent))
+        is_report_new || has_changed || (is_full_round && (state.in_flight > 0 || is_recent))
     }
 
     /// Whether `state` holds a report that has not been advertised yet.
--- a/crates/pinhaven-decide/src/lapsed_orders.rs
+++ b/crates/pinhaven-decide/src/lapsed_orders.rs
@@ -34,13 +34,13 @@
     /// The lapsed orders after a version ends at `now`: those retained so far, and those of the version's targets
     /// with orders in force.
     pub(crate) fn at_version_end(&self, targets: &[Arc<TargetState>], now: Microseconds) -> Self {
-        let recent = |run: &&LapsedRun| now.saturating_sub(run.lapsed_at) < RETENTION;
-        let is_target = |run: &&LapsedRun| {
+        let is_recent = |run: &&LapsedRun| now.saturating_sub(run.lapsed_at) < RETENTION;
+        let is_listed = |run: &&LapsedRun| {
             let mut targets = targets.iter();
             targets.any(|target| Arc::ptr_eq(target.orders(), &run.orders))
         };
-        let before = self.0.iter().filter(recent);
-        let mut runs: Vec<LapsedRun> = before.filter(|run| !is_target(run)).cloned().collect();
+        let retained = self.0.iter().filter(is_recent);
+        let mut runs: Vec<LapsedRun> = retained.filter(|run| !is_listed(run)).cloned().collect();
         runs.extend(targets.iter().filter_map(|target| lapsed_run(target, now)));
         let surplus = runs.len().saturating_sub(RUNS_MAX);
         runs.drain(..surplus);
--- a/crates/pinhaven-decide/src/service.rs
+++ b/crates/pinhaven-decide/src/service.rs
@@ -316,25 +316,29 @@
         let mut summary = TargetSummary::default();
         for target in &self.targets {
             summary.all += 1;
-            let held = target.in_flight() + target.peers_in_flight();
+            let outstanding = target.in_flight() + target.peers_in_flight();
             let slowdown = target.expected_slowdown(now, &self.speed);
             summary.leaving += u32::from(target.is_leaving());
             summary.resting += u32::from(target.rests_until(now).is_some());
             summary.ejected += u32::from(target.is_ejected(now));
             summary.slow += u32::from(slowdown >= SLOW_SLOWDOWN_MIN);
-            summary.full += u32::from(held as f32 >= target.slots());
+            summary.full += u32::from(outstanding as f32 >= target.slots());
         }
         summary
     }
 
     /// Share of slots held by the requests of all entries, as far as known, over all targets that take work at `now`.
     pub fn utilization(&self, now: Microseconds) -> f32 {
-        let (mut held, mut slots) = (0.0, 0.0);
+        let (mut outstanding, mut slots) = (0.0, 0.0);
         for target in self.targets.iter().filter(|target| !target.is_closed(now)) {
-            held += (target.in_flight() + target.peers_in_flight()) as f32;
+            outstanding += (target.in_flight() + target.peers_in_flight()) as f32;
             slots += target.slots();
         }
-        if slots > 0.0 { held / slots } else { 0.0 }
+        if slots > 0.0 {
+            outstanding / slots
+        } else {
+            0.0
+        }
     }
 
     /// Mean duration of a target's speed, in milliseconds.
--- a/crates/pinhaven-decide/tests/restarts.rs
+++ b/crates/pinhaven-decide/tests/restarts.rs
@@ -96,11 +96,15 @@
 /// lists that contain it.
 #[test]
 fn what_is_known_of_a_run_is_kept_when_a_list_leaves_its_start_out() {
-    let (before, without) = two_versions(&service(Some(EARLIER), "live"), &service(None, "live"));
-    let with_it = next_version(&without, &service(Some(EARLIER), "live"), 2_000);
-    let later = next_version(&without, &service(Some(LATER), "live"), 2_000);
-    assert!(Arc::ptr_eq(&before.targets()[0], &without.targets()[0]));
-    assert!(Arc::ptr_eq(&before.targets()[0], &with_it.targets()[0]));
+    let (before, without_start) =
+        two_versions(&service(Some(EARLIER), "live"), &service(None, "live"));
+    let with_start = next_version(&without_start, &service(Some(EARLIER), "live"), 2_000);
+    let later = next_version(&without_start, &service(Some(LATER), "live"), 2_000);
+    assert!(Arc::ptr_eq(
+        &before.targets()[0],
+        &without_start.targets()[0]
+    ));
+    assert!(Arc::ptr_eq(&before.targets()[0], &with_start.targets()[0]));
     assert!(!Arc::ptr_eq(&before.targets()[0], &later.targets()[0]));
 }
 
@@ -168,11 +172,11 @@
 /// The list entry of a crashed target lapses before the target is back.
 #[test]
 fn a_target_that_was_missing_before_it_started_again_has_to_earn_its_share_too() {
-    let (_, without) = two_versions(&service(Some(EARLIER), "live"), &with_targets([]));
-    let after = next_version(&without, &service(Some(LATER), "live"), 9_000);
+    let (_, without_target) = two_versions(&service(Some(EARLIER), "live"), &with_targets([]));
+    let after = next_version(&without_target, &service(Some(LATER), "live"), 9_000);
     let _first = Driven::new(&after, true, 9_010);
     assert!(Driven::new(&after, true, 9_010).attempts.is_empty());
-    let much_later = next_version(&without, &service(Some(LATER), "live"), 90_000);
+    let much_later = next_version(&without_target, &service(Some(LATER), "live"), 90_000);
     let _first = Driven::new(&much_later, true, 90_010);
     assert_eq!(Driven::new(&much_later, true, 90_010).attempts.len(), 1);
 }
