--- a/crates/pinhaven-decide/src/choice.rs
+++ b/crates/pinhaven-decide/src/choice.rs
@@ -68,7 +68,7 @@
             .map(|_| &targets[random.usize(..targets.len())])
             .find(usable),
         Policy::RoundRobin => (0..DRAWS_MAX)
-            .map(|_| service.turn.fetch_add(1, Ordering::Relaxed))
+            .map(|_| service.round_robin_position.fetch_add(1, Ordering::Relaxed))
             .map(|position| &targets[position as usize % targets.len()])
             .find(usable),
         Policy::LeastInFlight => {
@@ -87,7 +87,7 @@
         }
     };
     let target = chosen?;
-    let load = target.in_flight() as f32 + service.mean_others();
+    let load = target.in_flight() as f32 + service.mean_peer_load();
     Some(Choice {
         target: Arc::clone(target),
         load,
@@ -157,7 +157,7 @@
     now: Microseconds,
     constraints: &ChoiceConstraints<'_>,
 ) -> bool {
-    target.may_get(now, service.connections_per_target())
+    target.is_eligible(now, service.connections_per_target())
         && !constraints.tried.contains(&target.address())
 }
 
@@ -170,7 +170,8 @@
 ) -> (f32, f32) {
     let typical_ms = service.typical_ms();
     let own_load = target.in_flight() as f32;
-    let peer_load = target.others_at(now, service.mean_others(), typical_ms * REPORT_HALF_AGE);
+    let peer_load =
+        target.peer_load_at(now, service.mean_peer_load(), typical_ms * REPORT_HALF_AGE);
     let overdue = target.overdue(now, typical_ms);
     let load = own_load + peer_load + target.penalty_at(now) + overdue * OVERDUE_WEIGHT;
     let mut score = (load + 1.0) / (service.slots() * target.warm_share(now));
--- a/crates/pinhaven-decide/src/forecast.rs
+++ b/crates/pinhaven-decide/src/forecast.rs
@@ -221,7 +221,7 @@
     let slots = target.slots();
     let uncrowded_slots = (slots * CROWDED_UTILIZATION).ceil() - 1.0;
     let is_filling_worthwhile =
-        slots / service.crowding_to_fill(now) > uncrowded_slots * CROWDING_GAIN;
+        slots / service.admission_crowding(now) > uncrowded_slots * CROWDING_GAIN;
     let usable = if is_filling_worthwhile || uncrowded_slots < 1.0 {
         slots
     } else {
@@ -314,5 +314,5 @@
     now: Microseconds,
     tried: &[TargetAddress],
 ) -> bool {
-    target.may_get(now, service.connections_per_target()) && !tried.contains(&target.address())
+    target.is_eligible(now, service.connections_per_target()) && !tried.contains(&target.address())
 }
--- a/crates/pinhaven-decide/src/request.rs
+++ b/crates/pinhaven-decide/src/request.rs
@@ -8,6 +8,7 @@
 //! - Added attempts are limited by the budgets of the service and by the number of attempts that the caller allows.
 //! - A request that can't be served any more is refused in the step in which this is determined.
 
+use crate::availability::Availability;
 use crate::choice::Choice;
 use crate::choice::ChoiceConstraints;
 use crate::choice::choose;
@@ -17,7 +18,6 @@
 use crate::event::ChoiceFacts;
 use crate::event::Event;
 use crate::event::Step;
-use crate::opening::Opening;
 use crate::progress::Progress;
 use crate::refusal::RefusalReason;
 use crate::refusal::RunState;
@@ -309,10 +309,10 @@
 
     /// Reason for which no target accepts requests by `until`; `None` if a target does.
     pub(crate) fn unavailable_until(&self, until: Microseconds) -> Option<RefusalReason> {
-        match self.service.opening(self.now) {
-            Opening::Unknown => Some(RefusalReason::NoTarget),
-            Opening::At(at) if at > until => Some(RefusalReason::Resting),
-            Opening::At(_) | Opening::Now => None,
+        match self.service.availability(self.now) {
+            Availability::Unknown => Some(RefusalReason::NoTarget),
+            Availability::At(at) if at > until => Some(RefusalReason::Resting),
+            Availability::At(_) | Availability::Now => None,
         }
     }
 
@@ -321,7 +321,7 @@
         if allowed_ms <= 0.0 {
             return self.refuse(RefusalReason::NoTimeLeft);
         }
-        if self.service.predicted_turn_ms() > allowed_ms {
+        if self.service.predicted_queue_wait_ms() > allowed_ms {
             return self.refuse(RefusalReason::Overloaded);
         }
         let until = self
--- a/crates/pinhaven-decide/src/request_end.rs
+++ b/crates/pinhaven-decide/src/request_end.rs
@@ -1,10 +1,10 @@
 //! Handling of ended attempts: sends another attempt, delivers the answer or refuses the request.
 
+use crate::availability::Availability;
 use crate::event::Action;
 use crate::event::AttemptId;
 use crate::event::AttemptOutcome;
 use crate::forecast::TargetFilter;
-use crate::opening::Opening;
 use crate::refusal::Refusal;
 use crate::refusal::RefusalReason;
 use crate::refusal::RunState;
@@ -192,11 +192,11 @@
     /// the first time at which a target accepts requests.
     fn retry_after_ms(&mut self) -> u64 {
         let by_load_ms = self.service.retry_after_ms(self.random);
-        match self.service.opening(self.now) {
-            Opening::At(rest_ends) => {
-                by_load_ms.max(self.service.return_after_ms(self.now, rest_ends))
+        match self.service.availability(self.now) {
+            Availability::At(rest_ends) => {
+                by_load_ms.max(self.service.staggered_retry_after_ms(self.now, rest_ends))
             }
-            Opening::Now | Opening::Unknown => by_load_ms,
+            Availability::Now | Availability::Unknown => by_load_ms,
         }
     }
 
--- a/crates/pinhaven-decide/src/request_forecast.rs
+++ b/crates/pinhaven-decide/src/request_forecast.rs
@@ -217,7 +217,7 @@
             return None;
         }
         let gain_min = HEDGE_CHANCE_GAIN_MIN
-            / (1.0 - self.service.use_share(self.now)).max(HEDGE_CHANCE_GAIN_MIN);
+            / (1.0 - self.service.utilization(self.now)).max(HEDGE_CHANCE_GAIN_MIN);
         if miss_chance <= gain_min {
             return None;
         }
--- a/crates/pinhaven-decide/tests/forecast_learning.rs
+++ b/crates/pinhaven-decide/tests/forecast_learning.rs
@@ -83,7 +83,7 @@
         let slowdown = if (step / 4) % 2 == 0 { 1.0 } else { 7.0 };
         report(&service, 0, 1_000 + step * 50, slowdown);
     }
-    let duration_ms = service.speed_lasts_ms();
+    let duration_ms = service.speed_duration_ms();
     assert!((150.0..250.0).contains(&duration_ms), "{duration_ms}");
 }
 
@@ -104,7 +104,7 @@
             };
             report(&service, 0, 1_000 + step * 50, slowdown);
         }
-        service.report_age_wanted()
+        service.desired_report_age()
     };
     assert_eq!(report_age_for_duration(200), Microseconds::from_ms(90));
     let short = report_age_for_duration(8);
