--- a/crates/pinhaven-agree/src/latest_runs.rs
+++ b/crates/pinhaven-agree/src/latest_runs.rs
@@ -1,7 +1,8 @@
-//! The latest run of each target, as far as lists have told.
+//! The latest known run of each target.
 //!
-//! A write of an earlier run may reach the store after one of a later run, and a list may come late. So
-//! the latest run of an id is remembered, also while the id is missing from the list.
+//! The store may receive a write of an earlier run after a write of a later run, and lists may arrive
+//! out of order. The latest run of an id is therefore remembered, also while the id is missing from the
+//! list.
 
 use crate::listed_target::ListedTarget;
 use pinhaven_types::Microseconds;
@@ -9,25 +10,26 @@
 use pinhaven_types::TargetIncarnation;
 use std::collections::BTreeMap;
 
-/// How long a run is remembered after it was last listed. What comes late comes within seconds, or within
-/// an outage of the store.
-const REMEMBERED_FOR: Microseconds = Microseconds::from_ms(600_000);
+/// How long a run is remembered after it was last listed. Late writes and lists arrive within seconds,
+/// or within the duration of a store outage.
+const RETENTION: Microseconds = Microseconds::from_ms(600_000);
 
 /// The latest run of one target.
 #[derive(Debug, Clone, Copy)]
 struct LatestRun {
     incarnation: TargetIncarnation,
-    /// Whether it was listed as leaving.
+    /// Whether the run was listed as leaving.
     has_left: bool,
     listed_at: Microseconds,
 }
 
-/// The latest run of each target that tells its start.
+/// The latest run of each target that reports its start time.
 #[derive(Debug, Default)]
 pub(crate) struct LatestRuns(BTreeMap<TargetId, LatestRun>);
 
 impl LatestRuns {
-    /// Takes in what a list names at `now`, and forgets what was not listed for long.
+    /// Records the targets of a list received at `now`, and removes runs that were not listed for
+    /// [`RETENTION`].
     pub(crate) fn record<'list>(
         &mut self,
         listed: impl Iterator<Item = &'list ListedTarget>,
@@ -37,10 +39,10 @@
             self.record_target(target, now);
         }
         self.0
-            .retain(|_, run| now.saturating_sub(run.listed_at) < REMEMBERED_FOR);
+            .retain(|_, run| now.saturating_sub(run.listed_at) < RETENTION);
     }
 
-    /// Takes in a target that is known to run at `now`.
+    /// Records a target that is known to run at `now`.
     pub(crate) fn record_target(&mut self, target: &ListedTarget, now: Microseconds) {
         let Some(incarnation) = target.incarnation else {
             return;
@@ -72,8 +74,8 @@
         incarnation.is_some() && latest > incarnation
     }
 
-    /// Whether this run of the target was listed as leaving. That is final for a run: a "ready" of the
-    /// same run that comes after it was written before.
+    /// Whether this run of the target was listed as leaving. Leaving is final for a run: a "ready"
+    /// entry of the same run that arrives afterwards was written before.
     pub(crate) fn has_left(&self, target: &ListedTarget) -> bool {
         let latest = self.0.get(&target.id);
         latest.is_some_and(|run| run.has_left && Some(run.incarnation) == target.incarnation)
--- a/crates/pinhaven-agree/src/list_step.rs
+++ b/crates/pinhaven-agree/src/list_step.rs
@@ -1,7 +1,7 @@
-//! What changed from one list of targets to the next, for peers that have the one and lack the other.
+//! Differences between consecutive lists of targets, for peers that have an earlier list.
 //!
-//! A change touches few of many targets. Who asks says which list it has, by its digest; who has the steps from there
-//! on gives those, and anybody else the whole list.
+//! A change affects few of many targets. A peer names the list that it has by its digest. An entry that
+//! has all steps since that list sends the steps; any other entry sends the whole list.
 
 use crate::listed_target::ListedTarget;
 use crate::listed_target::TargetList;
@@ -12,35 +12,36 @@
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
 
-/// Targets that the kept steps may name together; those of some minutes of replacing all targets of a service.
-const CHANGES_KEPT: usize = 4_096;
+/// Maximum number of targets that the retained steps may name together. Covers some minutes in which
+/// all targets of a service are replaced.
+const CHANGES_MAX: usize = 4_096;
 
-/// A list with its digest, which takes long to find for a large one.
+/// A list with its digest, which is expensive to compute for a large list.
 #[derive(Clone, Copy)]
-pub(crate) struct Digested<'list> {
+pub(crate) struct DigestedList<'list> {
     pub(crate) list: &'list TargetList,
     pub(crate) digest: u64,
 }
 
-/// What turns one list into the next.
+/// Difference between a list and its successor.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListStep {
-    /// Digest of the list that it starts from.
+    /// Digest of the list that the step applies to.
     from: u64,
-    /// Digest of the list that it leads to.
+    /// Digest of the list that the step leads to.
     to: u64,
     /// Targets that are new or changed.
     changed: Vec<ListedTarget>,
-    /// Targets that are gone.
+    /// Targets that were removed.
     removed: Vec<TargetId>,
-    /// The ids under which entries of other writers stand, if they are others now.
+    /// Ids whose store entries belong to other writers; `None` if the set did not change.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     foreign_ids: Option<BTreeSet<TargetId>>,
 }
 
 impl ListStep {
     /// The step between two lists.
-    pub(crate) fn between(from: Digested<'_>, to: Digested<'_>) -> Self {
+    pub(crate) fn between(from: DigestedList<'_>, to: DigestedList<'_>) -> Self {
         let (from_digest, to_digest) = (from.digest, to.digest);
         let (from, to) = (from.list, to.list);
         let changed = to
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Targets and ids that it names.
+    /// Number of targets and ids that the step names.
     fn size(&self) -> usize {
         let foreign_ids = self.foreign_ids.as_ref().map_or(0, BTreeSet::len);
         self.changed.len() + self.removed.len() + foreign_ids
@@ -79,42 +80,43 @@
     }
 }
 
-/// The steps to a peer's list from one that the asker has.
+/// The steps from a list that the requesting entry has to the list of a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListSteps {
-    /// Revision of the list that they lead to.
+    /// Revision of the list that the steps lead to.
     pub revision: u64,
-    /// The steps, each from where the one before it leads.
+    /// The steps; each applies to the list that the previous one leads to.
     pub steps: Vec<ListStep>,
 }
 
-/// Why steps can't be used.
+/// Why steps cannot be applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DisplayDoc)]
 pub enum ListStepError {
-    /// they start from the list {from:016x}, but {held:016x} is held
+    /// the steps apply to the list {from:016x}, but the known list is {held:016x}
     WrongStart {
-        /// Digest of the list that a step starts from.
+        /// Digest of the list that a step applies to.
         from: u64,
-        /// Digest of the list that is held.
+        /// Digest of the known list.
         held: u64,
     },
-    /// they lead to the list {found:016x} where {told:016x} was told
+    /// the steps lead to the list {found:016x} instead of {expected:016x}
     WrongEnd {
-        /// Digest of what came out.
+        /// Digest of the resulting list.
         found: u64,
-        /// Digest that was told.
-        told: u64,
+        /// Digest that the steps announced.
+        expected: u64,
     },
 }
 
 impl std::error::Error for ListStepError {}
 
 impl ListSteps {
-    /// The list that the steps lead to from the one that is held, which has this digest.
+    /// Applies the steps to the list `held`, which has the digest `held_digest`.
     ///
     /// # Errors
     ///
-    /// [`ListStepError`] when they start or end elsewhere.
+    /// [`ListStepError`] when the steps apply to another list or do not lead to the list that they
+    /// announce.
     pub fn apply(self, held: &TargetList, held_digest: u64) -> Result<TargetList, ListStepError> {
         let mut digest = held_digest;
         let mut list = held.clone();
@@ -134,18 +136,19 @@
             true => Ok(list),
             false => Err(ListStepError::WrongEnd {
                 found,
-                told: digest,
+                expected: digest,
             }),
         }
     }
 }
 
-/// The last steps, each from where the one before it leads, the last to the list that is held.
+/// The latest steps; each applies to the list that the previous one leads to, and the last one leads to
+/// the current list.
 #[derive(Debug, Default)]
 pub(crate) struct RecentSteps(VecDeque<ListStep>);
 
 impl RecentSteps {
-    /// Adds the step that leads to the list that is held now.
+    /// Adds the step that leads to the current list.
     pub(crate) fn push(&mut self, step: ListStep) {
         if step.from == step.to {
             return;
@@ -154,14 +157,16 @@
             self.0.clear();
         }
         self.0.push_back(step);
-        while self.0.iter().map(ListStep::size).sum::<usize>() > CHANGES_KEPT {
+        while self.0.iter().map(ListStep::size).sum::<usize>() > CHANGES_MAX {
             self.0.pop_front();
         }
     }
 
-    /// The steps from a list with this digest on; `None` when they are not all here.
+    /// The steps from the list with `digest` to the current list; `None` when some of the steps are
+    /// missing.
     pub(crate) fn since(&self, digest: u64) -> Option<Vec<ListStep>> {
-        // A list may have been the same before; the shorter way is from its last time.
+        // The same list may have occurred several times; the steps from its last occurrence are the
+        // shortest way.
         let first = self.0.iter().rposition(|step| step.from == digest)?;
         Some(self.0.iter().skip(first).cloned().collect())
     }
--- a/crates/pinhaven-agree/src/listed_target.rs
+++ b/crates/pinhaven-agree/src/listed_target.rs
@@ -1,4 +1,4 @@
-//! Targets as the store lists them, and a list of them.
+//! Targets and lists of targets as the store returns them.
 
 use pinhaven_types::Digest;
 use pinhaven_types::FailureDomain;
@@ -11,42 +11,42 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// A target as the store lists it.
+/// A target as listed in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedTarget {
-    /// Its id.
+    /// Id of the target.
     pub id: TargetId,
-    /// Its run, if it tells its start.
+    /// Run of the target, if the target reports its start time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<TargetIncarnation>,
-    /// The service that it belongs to.
+    /// Service that the target belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address at which the target listens.
     pub address: TargetAddress,
-    /// Where it stands.
+    /// Failure domain in which the target runs.
     pub failure_domain: FailureDomain,
-    /// Requests that it works on at a time.
+    /// Number of requests that the target processes concurrently.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether the target accepts no new work.
     pub is_leaving: bool,
-    /// How much longer it was slow from its start when it was first listed, in milliseconds.
+    /// Remaining warm-up time when the target was first listed, in milliseconds.
     pub warm_up_ms: u64,
 }
 
-/// All targets at one moment of the store.
+/// All targets at one revision of the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetList {
-    /// The store's revision at that moment; a higher one is newer.
+    /// Revision of the store; a higher revision is newer.
     pub revision: u64,
     /// The targets, by id.
     pub targets: BTreeMap<TargetId, ListedTarget>,
-    /// Ids under which the store holds entries of other writers, which name no target.
+    /// Ids whose store entries belong to other writers and name no target.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub foreign_ids: BTreeSet<TargetId>,
 }
 
 impl TargetList {
-    /// A list read at a revision.
+    /// A list that was read at a revision of the store.
     pub fn new(revision: u64, targets: impl IntoIterator<Item = ListedTarget>) -> Self {
         Self {
             revision,
@@ -58,13 +58,13 @@
         }
     }
 
-    /// The same with ids under which other writers' entries stand.
+    /// Adds ids whose store entries belong to other writers.
     pub fn with_foreign_ids(mut self, ids: impl IntoIterator<Item = TargetId>) -> Self {
         self.foreign_ids.extend(ids);
         self
     }
 
-    /// Digest of what matters to routing. Two lists with the same digest lead to the same choices.
+    /// Digest of the properties that routing uses. Lists with the same digest lead to the same choices.
     pub fn digest(&self) -> u64 {
         let targets = self.targets.values().map(|target| {
             let mut part = format!(
@@ -76,7 +76,8 @@
             }
             part
         });
-        // What another entry keeps as lapsed ends with these, so it has to hear of them.
+        // Foreign ids end the retention of lapsed targets at peers, so peers must notice a change of
+        // these ids.
         let foreign = self.foreign_ids.iter().map(ToString::to_string);
         let parts: Vec<String> = targets.chain(foreign).collect();
         let parts: Vec<&[u8]> = parts.iter().map(String::as_bytes).collect();
--- a/crates/pinhaven-agree/src/packages.rs
+++ b/crates/pinhaven-agree/src/packages.rs
@@ -1,4 +1,5 @@
-//! The packages that peers are taking, so that each is made once and a peer that has begun one can finish it.
+//! Cache of the packages that peers are fetching. Each package is built once, and a peer that has
+//! fetched a part of a package can fetch the rest.
 
 use pinhaven_bundle::BundlePackage;
 use pinhaven_types::BundleVersion;
@@ -6,23 +7,24 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Packages that are kept. Entries that lack a version mostly hold the same one, so few are in use at a time.
-const PACKAGES_KEPT: usize = 8;
+/// Maximum number of cached packages. Entries that lack a version mostly hold the same older version,
+/// so few packages are in use at a time.
+const PACKAGES_MAX: usize = 8;
 
-/// What a package starts from: a version that the peer holds, or nothing.
+/// Version that a package applies to: a version that the peer holds, or `None` for a whole body.
 pub type PackageStart = Option<BundleVersion>;
 
-/// Packages, the one that was asked for last at the end.
+/// Cached packages, the most recently requested last.
 #[derive(Debug, Default)]
 pub struct Packages(VecDeque<(PackageStart, Arc<BundlePackage>)>);
 
 impl Packages {
-    /// The package with this digest, if it is still kept.
+    /// The package with this digest, if cached.
     pub fn find_by_digest(&mut self, digest: Digest) -> Option<Arc<BundlePackage>> {
         self.find(|_, package| package.digest() == digest)
     }
 
-    /// The package that leads from a start to a version, if it is kept.
+    /// The package that leads from `start` to the version `to`, if cached.
     pub fn find_leading_to(
         &mut self,
         start: PackageStart,
@@ -33,22 +35,22 @@
 
     fn find(
         &mut self,
-        fits: impl Fn(PackageStart, &BundlePackage) -> bool,
+        is_match: impl Fn(PackageStart, &BundlePackage) -> bool,
     ) -> Option<Arc<BundlePackage>> {
         let index = self
             .0
             .iter()
-            .position(|(start, package)| fits(*start, package))?;
+            .position(|(start, package)| is_match(*start, package))?;
         let used = self.0.remove(index)?;
         let package = Arc::clone(&used.1);
         self.0.push_back(used);
         Some(package)
     }
 
-    /// Keeps a package, in place of the one that was not asked for the longest.
+    /// Inserts a package, and evicts the least recently requested one if the cache is full.
     pub fn insert(&mut self, start: PackageStart, package: Arc<BundlePackage>) {
         self.0.push_back((start, package));
-        if self.0.len() > PACKAGES_KEPT {
+        if self.0.len() > PACKAGES_MAX {
             self.0.pop_front();
         }
     }
--- a/crates/pinhaven-agree/src/target_list.rs
+++ b/crates/pinhaven-agree/src/target_list.rs
@@ -1,20 +1,20 @@
-//! The list of targets as one entry knows it, and who reads it from the store.
+//! The list of targets as one entry knows it, and the schedule by which entries read it from the store.
 //!
-//! Every read costs, so few entries read and the others hear from them. Nobody is a reader for good:
-//! each entry has a rank, and reads when what it knows is older than its rank allows. While the first
-//! reader works, nobody else ever gets there; when it is frozen, cut off or turned away by the store,
-//! the next one takes over after a fraction of a second.
+//! Every read costs the store, so few entries read and the others receive the list from them. No entry
+//! is a reader permanently: each entry has a rank and reads when its list is older than its rank
+//! allows. While the first-ranked reader works, no other entry reaches that age. When the first reader
+//! is frozen, cut off or rejected by the store, the next rank takes over after a fraction of a second.
 //!
-//! A target that is missing from a list is gone, with one exception: entries of targets lapse while
-//! the store is away, and are back soon after its return. Until then targets that were there before
-//! the outage are kept. A target whose entry is there, but another writer's, has not lapsed: it is gone
-//! until its own entry is back.
+//! A target that is missing from a list is removed, with one exception: store entries of targets lapse
+//! while the store is unavailable, and targets register again soon after the store recovers. Until
+//! then, targets that were listed before the outage are retained. A target whose store entry was
+//! replaced by another writer has not lapsed: the target is removed until its own store entry is back.
 //!
-//! A target may start again under its id. Once a later run is known, nothing that is said of an earlier
-//! one counts, whoever says it.
+//! A target may restart under the same id. Once a later run is known, all statements about an earlier
+//! run are ignored, whatever their source.
 
 use crate::latest_runs::LatestRuns;
-use crate::list_step::Digested;
+use crate::list_step::DigestedList;
 use crate::list_step::ListStep;
 use crate::list_step::ListSteps;
 use crate::list_step::RecentSteps;
@@ -28,57 +28,60 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Age of the list at which the first reader reads it again. New work must end at a leaving target
-/// 2 s after the store knows; three readings and the way to all entries fit into that.
+/// Age of the list at which the first-ranked reader reads the list again. A leaving target must get no
+/// new work later than 2 s after the store records that it leaves; three reads and the distribution to
+/// all entries fit into that time.
 const READ_AFTER: Microseconds = Microseconds::from_ms(600);
-/// How much older the list must be for each rank that an entry stands behind the first.
+/// Additional age of the list per rank below the first.
 const READ_AFTER_PER_RANK: Microseconds = Microseconds::from_ms(200);
-/// Ranks past this read at the same age, so that the list never gets too old.
-const RANK_MOST: u32 = 4;
-/// How long targets that lapsed may take to come back after the store did. They write again within
-/// about 2 s.
-const RETURN_WITHIN: Microseconds = Microseconds::from_ms(2_300);
-
-/// How long before a failure of this entry another one must have read without any, for the failure to
-/// be this entry's own. One that just has not read yet in an outage does within this time.
-const STEADY_BEFORE: Microseconds = Microseconds::from_ms(1_500);
-
-/// What is to be done about a list that a peer knows.
+/// Highest rank that adds to the read age. Entries of higher ranks read at the same age, which bounds
+/// the age of the list.
+const RANK_MAX: u32 = 4;
+/// Time within which lapsed targets register again after the store recovers. Targets write their
+/// entries again within about 2 s.
+const REREGISTER_WITHIN: Microseconds = Microseconds::from_ms(2_300);
+
+/// Minimum time for which a peer must have read successfully before this entry's failure for the
+/// failure to count as local to this entry. In an outage of the store, a peer that has not read yet
+/// does so within this time.
+const STEADY_MARGIN: Microseconds = Microseconds::from_ms(1_500);
+
+/// Result of comparing a peer's list with the known list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerList {
-    /// The same is known here.
+    /// The lists are the same.
     Same,
-    /// It is older than what is known here.
+    /// The peer's list is older.
     Older,
-    /// It is newer and different; it has to be fetched.
+    /// The peer's list is newer and different; it has to be fetched.
     Fetch,
 }
 
-/// The list as one entry knows it.
+/// List of targets as one entry knows it.
 #[derive(Debug)]
 pub struct KnownTargets {
-    /// As the store gave it; only this is told to others.
+    /// The list as the store returned it; only this list is sent to peers.
     list: Arc<TargetList>,
     digest: u64,
-    /// What changed lately, for peers.
+    /// Latest changes of the list, for peers.
     recent: RecentSteps,
-    /// Targets that are missing from the list and may only have lapsed, until they had time to return.
-    kept: BTreeMap<TargetId, ListedTarget>,
-    keep_until: Option<Microseconds>,
+    /// Targets that are missing from the list and may only have lapsed, retained until `retain_until`.
+    retained: BTreeMap<TargetId, ListedTarget>,
+    retain_until: Option<Microseconds>,
     latest: LatestRuns,
-    /// Targets of which the list names an earlier run, as they were last listed.
-    later: BTreeMap<TargetId, ListedTarget>,
-    /// When the store last said that the list is right, by this entry's clock.
+    /// Later runs of targets of which the list names an earlier run.
+    newer_runs: BTreeMap<TargetId, ListedTarget>,
+    /// Local time at which the store last confirmed the list, to any entry.
     confirmed_at: Option<Microseconds>,
-    /// The same for what the store said to this entry itself.
+    /// Local time at which the store last confirmed the list to this entry.
     own_confirmed_at: Option<Microseconds>,
-    /// Whether the store did not answer this entry's last read.
+    /// Whether this entry's last read failed.
     has_failed: bool,
-    /// When the store last did not answer this entry.
+    /// Time of this entry's last failed read.
     last_failure_at: Option<Microseconds>,
-    /// Since when the store has answered all of this entry's reads.
+    /// Time since which the store has answered all reads of this entry.
     steady_since: Option<Microseconds>,
-    /// Since when it has answered all reads of some other entry that reads.
+    /// Earliest time since which the store has answered all reads of some other reader.
     peer_steady_since: Option<Microseconds>,
 }
 
@@ -89,17 +92,17 @@
 }
 
 impl KnownTargets {
-    /// Nothing is known.
+    /// An empty list that was never confirmed.
     pub fn new() -> Self {
         let list = TargetList::default();
         Self {
             digest: list.digest(),
             list: Arc::new(list),
             recent: RecentSteps::default(),
-            kept: BTreeMap::new(),
-            keep_until: None,
+            retained: BTreeMap::new(),
+            retain_until: None,
             latest: LatestRuns::default(),
-            later: BTreeMap::new(),
+            newer_runs: BTreeMap::new(),
             confirmed_at: None,
             own_confirmed_at: None,
             has_failed: false,
@@ -109,12 +112,12 @@
         }
     }
 
-    /// The targets to use: the latest run of those on the list, and those that may only have lapsed.
+    /// The targets to use: the latest run of each listed target, and targets that may only have lapsed.
     pub fn targets(&self) -> TargetList {
         let mut list = (*self.list).clone();
         list.targets
             .retain(|id, target| !self.is_superseded(id, target.incarnation));
-        for (id, target) in self.kept.iter().chain(&self.later) {
+        for (id, target) in self.retained.iter().chain(&self.newer_runs) {
             list.targets.insert(id.clone(), target.clone());
         }
         for target in list.targets.values_mut() {
@@ -123,21 +126,21 @@
         list
     }
 
-    /// Whether a later run of the target is known. What is said of this one does not count any more, and
-    /// what it had under way is lost.
+    /// Whether a later run of the target is known. Statements about a superseded run are ignored, and
+    /// the requests that it had in flight are lost.
     pub fn is_superseded(&self, id: &TargetId, incarnation: Option<TargetIncarnation>) -> bool {
         self.latest.is_superseded(id, incarnation)
     }
 
-    /// Takes in which run of a target answers where it is listed. A later one than is known is used from
-    /// now on, before the store tells of it. Returns whether it is later.
+    /// Records the run of a target that answered at the listed address. A run later than the known one
+    /// is used from now on, before the store lists it. Returns whether the run is later.
     pub fn record_run(
         &mut self,
         id: &TargetId,
         incarnation: TargetIncarnation,
         now: Microseconds,
     ) -> bool {
-        let Some(known) = self.in_use(id) else {
+        let Some(known) = self.current_target(id) else {
             return false;
         };
         if known.incarnation.is_none() || known.incarnation >= Some(incarnation) {
@@ -150,14 +153,14 @@
             ..known.clone()
         };
         self.latest.record_target(&run, now);
-        match self.kept.get_mut(id) {
-            Some(kept) => *kept = run,
-            None => _ = self.later.insert(id.clone(), run),
+        match self.retained.get_mut(id) {
+            Some(retained) => *retained = run,
+            None => _ = self.newer_runs.insert(id.clone(), run),
         }
         true
     }
 
-    /// The list as the store gave it.
+    /// The list as the store returned it.
     pub fn list(&self) -> &Arc<TargetList> {
         &self.list
     }
@@ -167,7 +170,8 @@
         self.digest
     }
 
-    /// The steps to the list from another one with this digest; `None` when only the whole list helps.
+    /// The steps from the list with `digest` to the current list; `None` when a peer with that list needs
+    /// the whole current list.
     pub fn steps_from(&self, digest: u64) -> Option<ListSteps> {
         let steps = match digest == self.digest {
             true => Vec::new(),
@@ -184,14 +188,16 @@
         self.confirmed_at.is_some()
     }
 
-    /// Time since the store last said that the list is right; `None` when it never did.
+    /// Time since the store last confirmed the list to any entry; `None` when it never did.
     pub fn age(&self, now: Microseconds) -> Option<Microseconds> {
         self.confirmed_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Time since the store said so to this entry itself; `None` when it never did. Only this may be
-    /// passed on: what is heard from others seems a little younger with each step, and would in the
-    /// end keep itself fresh among entries of which none reads.
+    /// Time since the store last confirmed the list to this entry; `None` when it never did.
+    ///
+    /// Only this age may be sent to peers. An age received from a peer becomes slightly too small at
+    /// each hop, so relayed ages would keep the list fresh indefinitely among entries of which none
+    /// reads.
     pub fn own_age(&self, now: Microseconds) -> Option<Microseconds> {
         self.own_confirmed_at.map(|at| now.saturating_sub(at))
     }
@@ -201,76 +207,77 @@
         self.due_in(rank, now) == Microseconds::ZERO
     }
 
-    /// Time until such an entry should read, if it hears nothing until then.
+    /// Time until an entry with this rank should read, unless a peer confirms the list before.
     pub fn due_in(&self, rank: u32, now: Microseconds) -> Microseconds {
-        let ranks = u64::from(rank.min(RANK_MOST));
+        let ranks = u64::from(rank.min(RANK_MAX));
         let after = READ_AFTER.count() + READ_AFTER_PER_RANK.count() * ranks;
         let due_in = |age| Microseconds::new(after).saturating_sub(age);
         self.age(now).map_or(Microseconds::ZERO, due_in)
     }
 
-    /// Takes in that the store could not be read.
+    /// Records that a read from the store failed.
     pub fn record_failure(&mut self, now: Microseconds) {
         self.has_failed = true;
-        self.keep_until = None;
+        self.retain_until = None;
         self.last_failure_at = Some(now);
         self.steady_since = None;
         self.peer_steady_since = None;
     }
 
-    /// How long the store has answered all of this entry's reads; `None` when it did not answer the
-    /// last or was never read.
+    /// How long the store has answered all reads of this entry; `None` when the last read failed or
+    /// this entry has not read.
     pub fn steady_for(&self, now: Microseconds) -> Option<Microseconds> {
         self.steady_since.map(|since| now.saturating_sub(since))
     }
 
-    /// Takes in that the store has answered all reads of another entry since a time. If that is longer
-    /// than since it last failed this entry, it was never away, and nothing can have lapsed.
+    /// Records that the store has answered all reads of a peer since `since`. If that time is well before
+    /// this entry's last failed read, the store was never unavailable and no target can have lapsed.
     pub fn record_peer_steady(&mut self, since: Microseconds) {
         self.peer_steady_since = self
             .peer_steady_since
             .map_or(Some(since), |known| Some(known.min(since)));
-        // A further failure of this entry's own puts the end off, but tells nothing of the store.
-        if self.was_cut_off() && !self.kept.is_empty() {
-            self.keep_until = Some(Microseconds::ZERO);
+        // A further local failure clears `retain_until` but says nothing about the store.
+        if self.was_cut_off() && !self.retained.is_empty() {
+            self.retain_until = Some(Microseconds::ZERO);
         }
     }
 
-    /// Whether the last outage was this entry's own.
+    /// Whether the last outage affected only this entry.
     fn was_cut_off(&self) -> bool {
         let (Some(failed_at), Some(since)) = (self.last_failure_at, self.peer_steady_since) else {
             return false;
         };
-        since.plus(STEADY_BEFORE) < failed_at
+        since.plus(STEADY_MARGIN) < failed_at
     }
 
-    /// Takes in a list that the store gave to a read that began at `began`. Returns whether anything
-    /// that matters has changed.
+    /// Records the list returned by a read of the store that began at `began`. Returns whether the
+    /// targets to use may have changed.
     pub fn record_read(&mut self, read: TargetList, began: Microseconds) -> bool {
         if self.is_known() && read.revision < self.list.revision {
             return false;
         }
         self.own_confirmed_at = Some(began);
         self.steady_since = self.steady_since.or(Some(began));
-        self.put(read, began, began)
+        self.replace_list(read, began, began)
     }
 
-    /// Forgets targets that had time to return and did not. Returns whether there were any.
+    /// Removes retained targets that did not register again in time. Returns whether there were any.
     pub fn expire_retained(&mut self, now: Microseconds) -> bool {
         if !self.has_expired(now) {
             return false;
         }
-        self.keep_until = None;
-        !std::mem::take(&mut self.kept).is_empty()
+        self.retain_until = None;
+        !std::mem::take(&mut self.retained).is_empty()
     }
 
-    /// Whether targets that are kept had time to return.
+    /// Whether the time for retained targets to register again has passed.
     pub fn has_expired(&self, now: Microseconds) -> bool {
-        self.keep_until.is_some_and(|until| now >= until)
+        self.retain_until.is_some_and(|until| now >= until)
     }
 
-    /// What is to be done about a list of a peer, to whom the store confirmed it at `confirmed_at`;
-    /// [`Microseconds::ZERO`] if the peer has it from others.
+    /// Compares the known list with a peer's list, and records the peer's confirmation if the lists are
+    /// the same. `confirmed_at` is the time at which the store confirmed the list to the peer itself,
+    /// or [`Microseconds::ZERO`] if the peer received the list from other entries.
     pub fn record_peer_revision(
         &mut self,
         revision: u64,
@@ -296,45 +303,51 @@
         PeerList::Same
     }
 
-    /// Takes in a list that a peer gave at `now`. Returns whether anything that matters has changed.
+    /// Records a list received from a peer. Returns whether the targets to use may have changed.
     pub fn record_peer_list(
         &mut self,
         list: TargetList,
         confirmed_at: Microseconds,
         now: Microseconds,
     ) -> bool {
-        self.is_newer(list.revision, confirmed_at) && self.put(list, confirmed_at, now)
+        self.is_newer(list.revision, confirmed_at) && self.replace_list(list, confirmed_at, now)
     }
 
-    /// Whether a list is newer than the one that is known. The store's revision says so; but targets
-    /// that lapse leave the list without a new revision, so of two with the same revision the one
+    /// Whether a list is newer than the known one. A higher revision of the store is newer. Targets
+    /// that lapse leave the list without a new revision, so of two lists with the same revision the one
     /// that was confirmed later is newer.
     fn is_newer(&self, revision: u64, confirmed_at: Microseconds) -> bool {
         let known = (self.list.revision, self.confirmed_at);
         (revision, Some(confirmed_at)) > known
     }
 
-    fn put(&mut self, mut list: TargetList, confirmed_at: Microseconds, now: Microseconds) -> bool {
+    fn replace_list(
+        &mut self,
+        mut list: TargetList,
+        confirmed_at: Microseconds,
+        now: Microseconds,
+    ) -> bool {
         let is_first = !self.is_known();
         for (id, target) in &mut list.targets {
             let known = self.list.targets.get(id);
             if let Some(known) = known.filter(|known| known.incarnation == target.incarnation) {
-                // What is left of its slow start shrinks all the time; only its beginning counts.
+                // The remaining warm-up shrinks from read to read; only the value of the first listing
+                // is used.
                 target.warm_up_ms = known.warm_up_ms;
             }
         }
-        let before = self.kept.len();
+        let retained_before = self.retained.len();
         self.latest.record(list.targets.values(), now);
-        let later = self.later_than(&list);
-        self.keep_lapsed(&list, now);
-        self.later = later;
+        let newer_runs = self.newer_runs_than(&list);
+        self.retain_lapsed(&list, now);
+        self.newer_runs = newer_runs;
         let digest = list.digest();
-        let has_changed = digest != self.digest || self.kept.len() != before;
-        let held = Digested {
+        let has_changed = digest != self.digest || self.retained.len() != retained_before;
+        let held = DigestedList {
             list: &self.list,
             digest: self.digest,
         };
-        let new = Digested {
+        let new = DigestedList {
             list: &list,
             digest,
         };
@@ -345,49 +358,49 @@
         has_changed || is_first
     }
 
-    /// Targets whose latest run is in use, but of which `list` names an earlier one.
-    fn later_than(&self, list: &TargetList) -> BTreeMap<TargetId, ListedTarget> {
+    /// The latest runs in use of targets of which `list` names an earlier run.
+    fn newer_runs_than(&self, list: &TargetList) -> BTreeMap<TargetId, ListedTarget> {
         let named = list.targets.values();
         named
             .filter(|target| self.is_superseded(&target.id, target.incarnation))
-            .filter_map(|target| self.in_use(&target.id))
+            .filter_map(|target| self.current_target(&target.id))
             .map(|target| (target.id.clone(), target.clone()))
             .collect()
     }
 
-    /// A target as it is used, unless a later run is known.
-    fn in_use(&self, id: &TargetId) -> Option<&ListedTarget> {
-        let kept = self.kept.get(id).or_else(|| self.later.get(id));
-        let known = kept.or_else(|| self.list.targets.get(id));
+    /// The run of a target that is in use; `None` if a later run is known.
+    fn current_target(&self, id: &TargetId) -> Option<&ListedTarget> {
+        let retained = self.retained.get(id).or_else(|| self.newer_runs.get(id));
+        let known = retained.or_else(|| self.list.targets.get(id));
         known.filter(|target| !self.is_superseded(id, target.incarnation))
     }
 
-    /// Keeps targets that are missing from the first lists after the store could not be read, for as
-    /// long as they may take to return. What this entry keeps is its own affair: another one may have
-    /// read the store all the time, and must not get back what is really gone.
-    fn keep_lapsed(&mut self, list: &TargetList, now: Microseconds) {
+    /// Retains targets that are missing from the first lists after a failed read, for the time in which
+    /// they may register again. Retained targets are local to this entry: a peer may have read the
+    /// store throughout and must not receive removed targets again.
+    fn retain_lapsed(&mut self, list: &TargetList, now: Microseconds) {
         if std::mem::take(&mut self.has_failed) && !self.was_cut_off() {
-            self.keep_until = Some(now.plus(RETURN_WITHIN));
+            self.retain_until = Some(now.plus(REREGISTER_WITHIN));
         }
         let addresses: BTreeSet<TargetAddress> =
             list.targets.values().map(|target| target.address).collect();
         let may_return = |target: &ListedTarget| {
             let is_listed = list.targets.contains_key(&target.id);
-            // An entry that another writer spoiled is there and did not lapse.
+            // A store entry that another writer replaced still exists, so the target did not lapse.
             let is_foreign = list.foreign_ids.contains(&target.id);
             !is_listed && !is_foreign && !target.is_leaving && !addresses.contains(&target.address)
         };
-        self.kept.retain(|_, target| may_return(target));
-        if self.keep_until.is_none_or(|until| now >= until) {
+        self.retained.retain(|_, target| may_return(target));
+        if self.retain_until.is_none_or(|until| now >= until) {
             return;
         }
         let listed = self.list.targets.values();
         let missing = listed
-            .map(|target| self.later.get(&target.id).unwrap_or(target))
+            .map(|target| self.newer_runs.get(&target.id).unwrap_or(target))
             .filter(|target| may_return(target))
             .filter(|target| !self.is_superseded(&target.id, target.incarnation));
         for target in missing.cloned().collect::<Vec<_>>() {
-            self.kept.insert(target.id.clone(), target);
+            self.retained.insert(target.id.clone(), target);
         }
     }
 }
--- a/crates/pinhaven-agree/src/version.rs
+++ b/crates/pinhaven-agree/src/version.rs
@@ -1,7 +1,8 @@
 //! The bundle version in force at one entry.
 //!
-//! A bundle is offered, then verified, then put in force; the type says how far it has come, and only
-//! a verified one can be put in force. [`VersionInForce`] takes none but newer versions.
+//! A bundle is offered, verified, and then put in force. The type state of [`Offer`] records the
+//! progress, and only a verified offer can be put in force. [`VersionInForce`] accepts newer versions
+//! only.
 
 use displaydoc::Display as DisplayDoc;
 use pinhaven_bundle::BundleHead;
@@ -15,20 +16,20 @@
 use pinhaven_types::require_promise;
 use std::sync::Arc;
 
-/// Who is named for a version that the store acknowledged. No key signs for this name.
+/// Signer that is recorded for a version that the store acknowledged. No key signs under this name.
 const ACKNOWLEDGED_SIGNER: &str = "acknowledged-by-store";
-/// The write that is named for such a version.
+/// Operation that is recorded for a version that the store acknowledged.
 const ACKNOWLEDGED_OPERATION: &str = "acknowledged";
 
-/// State of an offer that nothing has been checked of.
+/// State of an offer that has not been checked.
 #[derive(Debug, Clone)]
 pub struct Offered;
 
-/// State of an offer whose signature and digest are right.
+/// State of an offer whose signature and digest are correct.
 #[derive(Debug, Clone)]
 pub struct Verified;
 
-/// A bundle version on its way to being in force.
+/// A bundle version that may be put in force.
 #[derive(Debug, Clone)]
 pub struct Offer<State> {
     head: BundleHead,
@@ -37,7 +38,7 @@
 }
 
 impl Offer<Offered> {
-    /// A version as the platform or a peer offers it.
+    /// A version as offered by the platform or a peer.
     pub fn new(head: BundleHead, body: CanonicalBundle) -> Self {
         Self {
             head,
@@ -46,11 +47,11 @@
         }
     }
 
-    /// Checks who signed the version off, and that the body is the one that was signed.
+    /// Verifies the signature of the version, and that the body is the signed one.
     ///
     /// # Errors
     ///
-    /// [`SignError`] when it was not signed by a trusted person, or was altered.
+    /// [`SignError`] when no trusted signer signed the version, or the version was altered.
     pub fn verify(self, trusted: &[TrustedSigner]) -> Result<Offer<Verified>, SignError> {
         verify_head(&self.head, &self.body, trusted)?;
         Ok(Offer {
@@ -62,12 +63,12 @@
 }
 
 impl Offer<Verified> {
-    /// A version that operators wrote to a store which takes only theirs: its acknowledgement stands
-    /// for the signature, and nobody else can write there.
+    /// A version that operators wrote to a store that accepts writes of operators only. The store's
+    /// acknowledgement replaces the signature, because no other writer has access.
     ///
     /// # Errors
     ///
-    /// [`ParseNameError`] never in practice: the names that it writes are fixed.
+    /// [`ParseNameError`] never in practice: the recorded names are constant.
     pub fn acknowledged(body: CanonicalBundle) -> Result<Self, ParseNameError> {
         let head = BundleHead {
             version: body.bundle().version,
@@ -96,7 +97,7 @@
     }
 }
 
-/// putting version {offered} in force: version {held} is already
+/// putting version {offered} in force: version {held} is already in force
 #[derive(Debug, Clone, PartialEq, Eq, DisplayDoc)]
 pub struct OlderVersion {
     /// Version that was offered.
@@ -107,14 +108,14 @@
 
 impl std::error::Error for OlderVersion {}
 
-/// The version in force, which only grows.
+/// The version in force, which only increases.
 #[derive(Debug, Default)]
 pub struct VersionInForce {
     held: Option<Offer<Verified>>,
 }
 
 impl VersionInForce {
-    /// No version yet.
+    /// No version is in force yet.
     pub const fn new() -> Self {
         Self { held: None }
     }
@@ -126,7 +127,7 @@
             .map_or(BundleVersion::NONE, |held| held.head.version)
     }
 
-    /// The offer in force.
+    /// The offer that is in force.
     pub fn held(&self) -> Option<&Offer<Verified>> {
         self.held.as_ref()
     }
@@ -135,7 +136,7 @@
     ///
     /// # Errors
     ///
-    /// [`OlderVersion`] when the same or a newer one is in force; nothing changes then.
+    /// [`OlderVersion`] when the same or a newer version is in force; the version in force then stays.
     pub fn put_in_force(&mut self, offer: Offer<Verified>) -> Result<(), OlderVersion> {
         let held = self.version();
         let offered = offer.head.version;
--- a/crates/pinhaven-agree/src/version_fetch.rs
+++ b/crates/pinhaven-agree/src/version_fetch.rs
@@ -1,9 +1,9 @@
-//! Getting a version from peers, part by part.
+//! Fetching a version from peers in parts.
 //!
-//! A version may be larger than a link carries in the time that one call may take, so an entry asks for it
-//! in parts, each with a call and a timeout of its own. What has come is kept: when a peer fails, the
-//! next one that holds the same package goes on where it stopped. A package that can't be used is asked for
-//! as a whole body, since the same differences would fail again.
+//! A version may be larger than a link can transfer within the timeout of one call, so an entry
+//! requests it in parts, each with a call and a timeout of its own. Received parts are retained: when a
+//! peer fails, the next peer that holds the same package continues at the same offset. After a package
+//! that cannot be used, the entry requests the whole body, because the same deltas would fail again.
 
 use crate::membership::Membership;
 use pinhaven_types::BundleVersion;
@@ -11,60 +11,61 @@
 use pinhaven_types::Microseconds;
 use std::net::SocketAddr;
 
-/// The most bytes of a part.
+/// Maximum size of a part, in bytes.
 pub const PART_BYTES_MAX: usize = 16 * 1024;
-/// The least bytes of a part. At 1 kB a second it comes within [`PART_TIMEOUT`].
+/// Minimum size of a part, in bytes. At 1 kB/s such a part arrives within [`PART_TIMEOUT`].
 const PART_BYTES_MIN: usize = 1024;
-/// The most bytes of a package.
+/// Maximum size of a package, in bytes.
 const PACKAGE_BYTES_MAX: u64 = 64 * 1024 * 1024;
-/// How long a peer may take for a part. A peer that is gone is noticed after this time.
+/// Timeout of the request for one part, after which a failed peer is detected.
 pub const PART_TIMEOUT: Microseconds = Microseconds::from_ms(1_000);
 
-/// What to ask a peer for.
+/// Request to a peer for a part of a package.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PartRequest {
-    /// The version in force here.
+    /// The version in force at the requesting entry.
     pub held: BundleVersion,
-    /// The package that was begun, if one was.
+    /// The partially fetched package, if any.
     pub package: Option<Digest>,
-    /// Bytes of it that are here.
+    /// Number of bytes of the package received so far.
     pub offset: u64,
-    /// Whether only a whole body is of use.
+    /// Whether only a whole body is accepted.
     pub needs_whole: bool,
-    /// The most bytes to give at once.
+    /// Maximum number of bytes in the answer.
     pub bytes_max: usize,
 }
 
-/// A part that a peer gave.
+/// A part of a package, as a peer sends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Part {
     /// The version that the package leads to.
     pub version: BundleVersion,
-    /// The package.
+    /// Digest of the package.
     pub package: Digest,
-    /// All its bytes.
+    /// Size of the whole package, in bytes.
     pub total_bytes: u64,
-    /// Where the part begins.
+    /// Offset of the part in the package, in bytes.
     pub offset: u64,
-    /// The part.
+    /// Content of the part.
     pub bytes: Vec<u8>,
 }
 
-/// What a part led to.
+/// Result of receiving a part.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fetched {
     /// Further parts are missing.
     More,
-    /// All bytes of a package, which have its digest.
+    /// All bytes of a package; their digest is the digest of the package.
     Package(Vec<u8>),
-    /// The part fits nothing: it is empty, too large or misplaced, or the whole does not have its digest.
+    /// The part is empty, too large or misplaced, or the bytes of the whole package do not have its
+    /// digest.
     Rejected,
 }
 
-/// A package that has come in part.
+/// A package of which some parts were received.
 #[derive(Debug)]
-struct Begun {
-    /// The version in force when it was begun; differences lead on from that one only.
+struct PartialPackage {
+    /// The version in force when the fetch began; deltas apply to this version only.
     held: BundleVersion,
     version: BundleVersion,
     package: Digest,
@@ -72,7 +73,7 @@
     bytes: Vec<u8>,
 }
 
-impl Begun {
+impl PartialPackage {
     fn new(held: BundleVersion, part: &Part) -> Self {
         Self {
             held,
@@ -83,13 +84,13 @@
         }
     }
 
-    /// Whether a part is the next one of this package.
+    /// Whether `part` is the next part of this package.
     fn is_next(&self, part: &Part) -> bool {
-        let is_of_it = part.package == self.package
+        let is_same_package = part.package == self.package
             && part.version == self.version
             && part.total_bytes == self.total_bytes;
         let end = part.offset.checked_add(part.bytes.len() as u64);
-        is_of_it
+        is_same_package
             && part.offset == self.bytes.len() as u64
             && !part.bytes.is_empty()
             && part.bytes.len() <= PART_BYTES_MAX
@@ -98,20 +99,20 @@
     }
 }
 
-/// What one entry has of a newer version.
+/// State of the fetch of a newer version by one entry.
 #[derive(Debug)]
 pub struct VersionFetch {
-    begun: Option<Begun>,
+    partial: Option<PartialPackage>,
     needs_whole: bool,
-    /// Bytes to ask for at once: fewer after parts that came too late, as on a full link a smaller one still
-    /// comes in time.
+    /// Number of bytes to request at once. Halved after each timeout, because a smaller part still
+    /// arrives in time on a saturated link.
     part_bytes: usize,
 }
 
 impl Default for VersionFetch {
     fn default() -> Self {
         Self {
-            begun: None,
+            partial: None,
             needs_whole: false,
             part_bytes: PART_BYTES_MAX,
         }
@@ -119,72 +120,81 @@
 }
 
 impl VersionFetch {
-    /// What to ask the next peer for, while `held` is in force.
+    /// The request to the next peer, while `held` is in force.
     pub fn request(&mut self, held: BundleVersion) -> PartRequest {
-        if self.begun.as_ref().is_some_and(|begun| begun.held != held) {
-            // Differences that were begun lead on from a version that is no longer in force here.
-            self.begun = None;
+        if self
+            .partial
+            .as_ref()
+            .is_some_and(|partial| partial.held != held)
+        {
+            // The deltas of the partial package apply to a version that is no longer in force.
+            self.partial = None;
         }
-        let begun = self.begun.as_ref();
+        let partial = self.partial.as_ref();
         PartRequest {
             held,
-            package: begun.map(|begun| begun.package),
-            offset: begun.map_or(0, |begun| begun.bytes.len() as u64),
+            package: partial.map(|partial| partial.package),
+            offset: partial.map_or(0, |partial| partial.bytes.len() as u64),
             needs_whole: self.needs_whole,
             bytes_max: self.part_bytes,
         }
     }
 
-    /// Takes in the answer to a request. A peer that no longer holds the package that was begun gives the first
-    /// part of another. After a part that fits nothing the next request begins anew, as it can't be told
-    /// which of the parts was wrong.
+    /// Records the answer to a request. A peer that no longer has the partially fetched package sends
+    /// the first part of another one. After a rejected part, the next request starts a package from the
+    /// beginning, because the wrong part cannot be identified.
     pub fn record_part(&mut self, request: PartRequest, part: Part) -> Fetched {
         if part.offset == 0 {
-            self.begun = Some(Begun::new(request.held, &part));
+            self.partial = Some(PartialPackage::new(request.held, &part));
         }
-        let Some(begun) = self.begun.as_mut().filter(|begun| begun.is_next(&part)) else {
-            self.begun = None;
+        let Some(partial) = self
+            .partial
+            .as_mut()
+            .filter(|partial| partial.is_next(&part))
+        else {
+            self.partial = None;
             return Fetched::Rejected;
         };
-        begun.bytes.extend_from_slice(&part.bytes);
+        partial.bytes.extend_from_slice(&part.bytes);
         self.part_bytes = (self.part_bytes * 2).min(PART_BYTES_MAX);
-        if (begun.bytes.len() as u64) < begun.total_bytes {
+        if (partial.bytes.len() as u64) < partial.total_bytes {
             return Fetched::More;
         }
         self.finish()
     }
 
     fn finish(&mut self) -> Fetched {
-        let Some(begun) = self.begun.take() else {
+        let Some(partial) = self.partial.take() else {
             return Fetched::Rejected;
         };
-        if Digest::of(&begun.bytes) != begun.package {
+        if Digest::of(&partial.bytes) != partial.package {
             return Fetched::Rejected;
         }
-        Fetched::Package(begun.bytes)
+        Fetched::Package(partial.bytes)
     }
 
-    /// Takes in that a peer gave no part in time.
+    /// Records that a peer sent no part before the timeout.
     pub fn record_timeout(&mut self) {
         self.part_bytes = (self.part_bytes / 2).max(PART_BYTES_MIN);
     }
 
-    /// Takes in that differences which came can't be used here.
+    /// Records that received deltas cannot be applied. The next request is for a whole body.
     pub fn reject_differences(&mut self) {
-        self.begun = None;
+        self.partial = None;
         self.needs_whole = true;
     }
 
-    /// Takes in that a newer version is in force.
+    /// Records that a newer version was put in force.
     pub fn put_in_force(&mut self) {
         self.needs_whole = false;
-        self.begun = None;
+        self.partial = None;
     }
 }
 
 impl Membership {
-    /// A live peer that holds `version` or a newer one and is not among `tried`: in this entry's own failure
-    /// domain if there is one, drawn by `random`, so that those who lack it spread over those who have it.
+    /// A live peer that holds `version` or a newer one and is not in `tried`. Peers in this entry's own
+    /// failure domain are preferred. `random` selects among the candidates, which spreads the requests
+    /// over the peers that have the version.
     pub fn find_holder(
         &self,
         version: BundleVersion,
