--- a/crates/pinhaven-agree/src/lib.rs
+++ b/crates/pinhaven-agree/src/lib.rs
@@ -6,7 +6,6 @@
 //! cost is paid for beforehand.
 
 mod demand;
-mod giving;
 mod latest_runs;
 mod ledger;
 mod list_step;
@@ -14,19 +13,18 @@
 mod membership;
 mod packages;
 mod recent_deltas;
-mod retry_pause;
+mod retry_backoff;
 mod seat;
 mod steering;
 mod store_lag;
 mod store_pace;
 mod target_list;
+mod transfer_budget;
 mod version;
 mod version_fetch;
 mod version_lag;
 
 pub use demand::DemandMeter;
-pub use giving::AWAY_MOST;
-pub use giving::GivingBudget;
 pub use ledger::Begin;
 pub use ledger::Claim;
 pub use ledger::Epoch;
@@ -50,7 +48,7 @@
 pub use packages::PackageStart;
 pub use packages::Packages;
 pub use recent_deltas::RecentDeltas;
-pub use retry_pause::RetryPause;
+pub use retry_backoff::RetryPause;
 pub use seat::SeatAction;
 pub use seat::SeatKeeper;
 pub use seat::SeatRow;
@@ -59,6 +57,8 @@
 pub use store_pace::pause_after_answer;
 pub use target_list::KnownTargets;
 pub use target_list::PeerList;
+pub use transfer_budget::AWAY_MOST;
+pub use transfer_budget::GivingBudget;
 pub use version::Offer;
 pub use version::Offered;
 pub use version::OlderVersion;
