--- a/crates/pinhaven-agree/src/membership.rs
+++ b/crates/pinhaven-agree/src/membership.rs
@@ -87,9 +87,9 @@
     /// What it last said.
     pub row: MemberRow,
     /// When its heartbeat count last grew, by this entry's clock.
-    pub heard_at: Microseconds,
+    pub heartbeat_at: Microseconds,
     /// Time between two such moments, on average.
-    gap: Microseconds,
+    mean_gap: Microseconds,
     /// Whether it was heard itself or its count was seen to grow; a row alone may be long out of date.
     is_confirmed: bool,
     /// Its place in the order that all entries agree on.
@@ -125,12 +125,12 @@
     }
 
     /// The other entries.
-    pub fn others(&self) -> impl Iterator<Item = &Member> {
+    pub fn peers(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
     /// Beats the heart once, with what is in force now.
-    pub fn beat(&mut self, version: BundleVersion, epoch: u64) {
+    pub fn advance_heartbeat(&mut self, version: BundleVersion, epoch: u64) {
         self.own.heartbeat += 1;
         self.own.version = version;
         self.own.epoch = epoch;
@@ -142,22 +142,22 @@
     }
 
     /// Moves this entry on in its life; it never moves back.
-    pub fn advance(&mut self, state: MemberState) {
+    pub fn advance_state(&mut self, state: MemberState) {
         self.own.state = self.own.state.max(state);
         self.own.heartbeat += 1;
     }
 
     /// Takes in what another entry said of itself.
-    pub fn hear(&mut self, row: MemberRow, now: Microseconds) {
+    pub fn record_member(&mut self, row: MemberRow, now: Microseconds) {
         let incarnation = row.incarnation;
-        self.hear_of(row, now);
+        self.record_relayed_member(row, now);
         if let Some(member) = self.members.get_mut(&incarnation) {
             member.is_confirmed = true;
         }
     }
 
     /// Takes in what the platform or a third entry said of another one. Returns whether it was news.
-    pub fn hear_of(&mut self, row: MemberRow, now: Microseconds) -> bool {
+    pub fn record_relayed_member(&mut self, row: MemberRow, now: Microseconds) -> bool {
         if row.incarnation == self.own.incarnation {
             return false;
         }
@@ -165,8 +165,8 @@
             let member = Member {
                 rank: rank_of(&row),
                 row,
-                heard_at: now,
-                gap: Microseconds::ZERO,
+                heartbeat_at: now,
+                mean_gap: Microseconds::ZERO,
                 is_confirmed: false,
             };
             self.members.insert(member.row.incarnation, member);
@@ -177,39 +177,40 @@
         }
         let state = member.row.state.max(row.state);
         member.row = MemberRow { state, ..row };
-        let gap = now.saturating_sub(member.heard_at);
-        member.gap = Microseconds::new((member.gap.count() * (GAPS - 1) + gap.count()) / GAPS);
-        member.heard_at = now;
+        let gap = now.saturating_sub(member.heartbeat_at);
+        member.mean_gap =
+            Microseconds::new((member.mean_gap.count() * (GAPS - 1) + gap.count()) / GAPS);
+        member.heartbeat_at = now;
         member.is_confirmed = true;
         true
     }
 
     /// Takes in that an address does not answer as this incarnation any more.
-    pub fn lose(&mut self, incarnation: Incarnation) {
+    pub fn mark_gone(&mut self, incarnation: Incarnation) {
         if let Some(member) = self.members.get_mut(&incarnation) {
             member.row.state = MemberState::Gone;
         }
     }
 
     /// Forgets members that have been silent for long.
-    pub fn forget_silent(&mut self, now: Microseconds) {
+    pub fn remove_silent(&mut self, now: Microseconds) {
         let forget_after = self.forget_after;
         self.members
-            .retain(|_, member| now.saturating_sub(member.heard_at) < forget_after);
+            .retain(|_, member| now.saturating_sub(member.heartbeat_at) < forget_after);
     }
 
     /// Whether a member's heart beats, as far as can be told.
     pub fn is_live(&self, member: &Member, now: Microseconds) -> bool {
         member.is_confirmed
             && member.row.state != MemberState::Gone
-            && now.saturating_sub(member.heard_at) < self.silent_after_of(member)
+            && now.saturating_sub(member.heartbeat_at) < self.silent_after_of(member)
     }
 
     /// How long a member may be silent. One that is heard of through others, now and then, is not gone
     /// because it was not heard of for as long as one that speaks to this entry itself may be silent.
     fn silent_after_of(&self, member: &Member) -> Microseconds {
         let least = self.silent_after.count();
-        let usual = member.gap.count() * GAPS_MISSED;
+        let usual = member.mean_gap.count() * GAPS_MISSED;
         Microseconds::new(usual.clamp(least, least * SILENT_MOST))
     }
 
@@ -232,7 +233,7 @@
     }
 
     /// Members to talk to: those not known to be gone, heard of in any way not long ago.
-    pub fn peers_to_ask(&self) -> Vec<&MemberRow> {
+    pub fn contactable_peers(&self) -> Vec<&MemberRow> {
         self.members
             .values()
             .map(|member| &member.row)
--- a/crates/pinhaven-agree/src/steering.rs
+++ b/crates/pinhaven-agree/src/steering.rs
@@ -47,7 +47,7 @@
         }
         let serving_in = |(region, ranked)| {
             let demand = self.demand_in(region, now);
-            serving_of(ranked, demand)
+            select_serving(ranked, demand)
         };
         by_region.into_iter().flat_map(serving_in).collect()
     }
@@ -84,7 +84,7 @@
     /// configuration, and their rows are where entries that know nobody find the others.
     pub fn is_delegate(&self, now: Microseconds) -> bool {
         let ranked = self.ranked(now, MemberState::Starting);
-        self.place_among(&ranked) < delegates_per_domain(&ranked)
+        self.rank_among(&ranked) < delegates_per_domain(&ranked)
     }
 
     /// Those few, this entry included if it is one.
@@ -95,12 +95,12 @@
     }
 
     /// How many entries of this one's failure domain come before it.
-    pub fn place_in_domain(&self, now: Microseconds) -> usize {
-        self.place_among(&self.ranked(now, MemberState::Starting))
+    pub fn rank_in_domain(&self, now: Microseconds) -> usize {
+        self.rank_among(&self.ranked(now, MemberState::Starting))
     }
 
     /// How many entries come before this one: first those that serve, then the others, best first.
-    pub fn place_among_all(&self, now: Microseconds) -> usize {
+    pub fn rank_among_all(&self, now: Microseconds) -> usize {
         let own = self.own().incarnation;
         let serving: Vec<Incarnation> = self
             .serving(now)
@@ -119,7 +119,7 @@
         serving.len() + stand_by.count()
     }
 
-    fn place_among(&self, ranked: &[Ranked<'_>]) -> usize {
+    fn rank_among(&self, ranked: &[Ranked<'_>]) -> usize {
         let own = self.own();
         ranked
             .iter()
@@ -166,7 +166,7 @@
 }
 
 /// Those of one region that serve: the first of each failure domain, and then as many as it takes.
-fn serving_of(ranked: Vec<Ranked<'_>>, demand: RequestRate) -> Vec<&MemberRow> {
+fn select_serving(ranked: Vec<Ranked<'_>>, demand: RequestRate) -> Vec<&MemberRow> {
     let (mut serving, spare) = first_of_domains(ranked, SERVING_PER_DOMAIN);
     let wanted = f64::from(demand.per_second()) * HEADROOM;
     let capacity = |row: &&MemberRow| f64::from(row.capacity.per_second());
--- a/crates/pinhaven-agree/tests/membership.rs
+++ b/crates/pinhaven-agree/tests/membership.rs
@@ -37,7 +37,7 @@
 fn members(count: u16) -> Membership {
     let mut members = Membership::new(row(0, MemberState::Ready), SILENT_AFTER);
     for number in 1..=count {
-        members.hear(row(number, MemberState::Ready), at_ms(0));
+        members.record_member(row(number, MemberState::Ready), at_ms(0));
     }
     members
 }
@@ -59,12 +59,12 @@
     let mut members = members(3);
     let mut stopping = row(2, MemberState::Stopping);
     stopping.heartbeat = 5;
-    members.hear(stopping, at_ms(10));
+    members.record_member(stopping, at_ms(10));
     let mut late = row(2, MemberState::Ready);
     late.heartbeat = 4;
-    members.hear_of(late.clone(), at_ms(20));
+    members.record_relayed_member(late.clone(), at_ms(20));
     late.heartbeat = 9;
-    members.hear(late, at_ms(30));
+    members.record_member(late, at_ms(30));
     let names = named(&members, "quote", 10, 40);
     assert!(!names.contains(&"entry-02".to_owned()), "{names:?}");
     assert_eq!(names.len(), 3);
@@ -75,7 +75,7 @@
     let mut members = members(2);
     let mut beating = row(1, MemberState::Ready);
     beating.heartbeat = 2;
-    members.hear_of(beating, at_ms(1_500));
+    members.record_relayed_member(beating, at_ms(1_500));
     assert_eq!(
         named(&members, "quote", 10, 2_100),
         ["entry-00", "entry-01"]
@@ -88,7 +88,7 @@
     for beat in 1..10 {
         let mut row = row(1, MemberState::Ready);
         row.heartbeat = 1 + beat;
-        members.hear_of(row, at_ms(beat * 1_800));
+        members.record_relayed_member(row, at_ms(beat * 1_800));
     }
     // Heard last at 16.2 s.
     assert_eq!(named(&members, "quote", 10, 20_000).len(), 2);
@@ -99,7 +99,7 @@
 fn a_repeated_old_heartbeat_does_not_keep_an_entry_alive() {
     let mut members = members(1);
     for time_ms in (0..4_000).step_by(100) {
-        members.hear_of(row(1, MemberState::Ready), at_ms(time_ms));
+        members.record_relayed_member(row(1, MemberState::Ready), at_ms(time_ms));
     }
     assert_eq!(named(&members, "quote", 10, 4_000), ["entry-00"]);
 }
@@ -107,11 +107,11 @@
 #[test]
 fn an_entry_known_only_from_a_list_is_not_named_before_its_heart_was_seen_to_beat() {
     let mut members = members(0);
-    members.hear_of(row(1, MemberState::Ready), at_ms(0));
+    members.record_relayed_member(row(1, MemberState::Ready), at_ms(0));
     assert_eq!(named(&members, "quote", 10, 1), ["entry-00"]);
     let mut next = row(1, MemberState::Ready);
     next.heartbeat = 2;
-    members.hear_of(next, at_ms(10));
+    members.record_relayed_member(next, at_ms(10));
     assert_eq!(named(&members, "quote", 10, 11).len(), 2);
 }
 
@@ -119,10 +119,10 @@
 fn an_entry_that_is_starting_is_not_named() {
     let mut members = Membership::new(row(0, MemberState::Starting), SILENT_AFTER);
     assert!(named(&members, "quote", 10, 0).is_empty());
-    members.advance(MemberState::Ready);
+    members.advance_state(MemberState::Ready);
     assert_eq!(named(&members, "quote", 10, 0), ["entry-00"]);
-    members.advance(MemberState::Stopping);
-    members.advance(MemberState::Ready);
+    members.advance_state(MemberState::Stopping);
+    members.advance_state(MemberState::Ready);
     assert!(
         named(&members, "quote", 10, 0).is_empty(),
         "no life goes back"
@@ -135,7 +135,7 @@
     for own in 0..6 {
         let mut members = Membership::new(row(own, MemberState::Ready), SILENT_AFTER);
         for number in (0..6).filter(|number| *number != own) {
-            members.hear(row(number, MemberState::Ready), at_ms(0));
+            members.record_member(row(number, MemberState::Ready), at_ms(0));
         }
         all.push(named(&members, "quote", 3, 0));
     }
@@ -164,7 +164,7 @@
 fn the_loss_of_an_entry_moves_only_what_it_served() {
     let whole = members(17);
     let mut without = members(17);
-    without.lose(Incarnation::new(5));
+    without.mark_gone(Incarnation::new(5));
     for number in 0..200 {
         let name = format!("service-{number}");
         let before = named(&whole, &name, 4, 0);
@@ -198,7 +198,7 @@
     for own in 0..18 {
         let mut members = Membership::new(row(own, MemberState::Ready), SILENT_AFTER);
         for number in (0..18).filter(|number| *number != own) {
-            members.hear(row(number, MemberState::Ready), at_ms(0));
+            members.record_member(row(number, MemberState::Ready), at_ms(0));
         }
         if members.is_head_reader(2, at_ms(0)) {
             *readers.entry(own % 3).or_default() += 1;
--- a/crates/pinhaven-agree/tests/steering.rs
+++ b/crates/pinhaven-agree/tests/steering.rs
@@ -39,7 +39,7 @@
 fn members_of(own: usize, rows: &[MemberRow]) -> Membership {
     let mut members = Membership::new(rows[own].clone(), SILENT_AFTER);
     for row in rows.iter().filter(|row| **row != rows[own]) {
-        members.hear(row.clone(), NOW);
+        members.record_member(row.clone(), NOW);
     }
     members
 }
@@ -203,7 +203,7 @@
     let mut places: Vec<usize> = (0..rows.len())
         .map(|own| {
             let members = members_of(own, &rows);
-            let place = members.place_among_all(NOW);
+            let place = members.rank_among_all(NOW);
             let serving = members.serving(NOW);
             let serves = serving.iter().any(|row| **row == rows[own]);
             assert_eq!(serves, place < serving.len(), "entry {own} at {place}");
--- a/crates/pinhaven-agree/tests/version_fetch.rs
+++ b/crates/pinhaven-agree/tests/version_fetch.rs
@@ -262,7 +262,7 @@
     let mut members = Membership::new(row(0, "a", 1), Microseconds::from_ms(1_000));
     let now = Microseconds::from_ms(1);
     for (number, domain, version) in [(1, "a", 2), (2, "a", 2), (3, "a", 1), (4, "b", 2)] {
-        members.hear(row(number, domain, version), now);
+        members.record_member(row(number, domain, version), now);
     }
     let wanted = BundleVersion::new(2);
     let mut asked: Vec<u16> = (0..100)
--- a/crates/pinhaven-entry/src/crashes/watch.rs
+++ b/crates/pinhaven-entry/src/crashes/watch.rs
@@ -180,7 +180,7 @@
         let now = self.now();
         let members = self.members.lock();
         Some(TryTurn {
-            place: members.place_among_all(now) as u64,
+            place: members.rank_among_all(now) as u64,
             entries: members.live_peers(now).len() as u64 + 1,
         })
     }
--- a/crates/pinhaven-entry/src/peers/gossip.rs
+++ b/crates/pinhaven-entry/src/peers/gossip.rs
@@ -100,8 +100,8 @@
         let has_news = self.leaving.lock().gather(&snapshot, now);
         let epoch = self.ledger.lock().epoch().0;
         let mut members = self.members.lock();
-        members.beat(snapshot.version, epoch);
-        members.forget_silent(now);
+        members.advance_heartbeat(snapshot.version, epoch);
+        members.remove_silent(now);
         has_news
     }
 
@@ -165,14 +165,14 @@
         };
         let version = row.version;
         self.unknown_members.lock().remove(&row.incarnation);
-        self.members.lock().hear(row, self.now());
+        self.members.lock().record_member(row, self.now());
         version
     }
 
     pub(crate) fn hear_identity(&self, identity: Identity, beats: &[Beat]) {
         if let Some(row) = row_of(identity, beats) {
             self.unknown_members.lock().remove(&row.incarnation);
-            self.members.lock().hear_of(row, self.now());
+            self.members.lock().record_relayed_member(row, self.now());
         }
     }
 
@@ -192,7 +192,7 @@
                 }
                 Some(member) => {
                     let row = with_beat(member.row.clone(), beat);
-                    members.hear_of(row, now);
+                    members.record_relayed_member(row, now);
                 }
             }
         }
@@ -213,7 +213,7 @@
         for row in rows {
             match to_member(&row) {
                 Ok(row) => {
-                    members.hear_of(row, now);
+                    members.record_relayed_member(row, now);
                 }
                 Err(fault) => self.table.leave_out(ENTRY_PREFIX, &row.key, &fault),
             }
--- a/crates/pinhaven-entry/src/peers/news.rs
+++ b/crates/pinhaven-entry/src/peers/news.rs
@@ -228,7 +228,7 @@
 
     /// Brings up to date what depends on which peers live.
     fn look_at_peers(&self, sender: &mut Sender, now: Microseconds) {
-        self.members.lock().forget_silent(now);
+        self.members.lock().remove_silent(now);
         self.peer_counts.lock().forget_silent(now);
         let demand = sender
             .demand
@@ -314,7 +314,7 @@
 
     fn count_beat(&self) {
         let version = self.snapshot.load().version;
-        self.members.lock().beat(version, 0);
+        self.members.lock().advance_heartbeat(version, 0);
     }
 
     fn list_news(&self, now: Microseconds) -> Option<ListNews> {
--- a/crates/pinhaven-entry/src/peers/peer_rows.rs
+++ b/crates/pinhaven-entry/src/peers/peer_rows.rs
@@ -63,7 +63,7 @@
                 let now = self.now();
                 let mut members = self.members.lock();
                 for row in rows {
-                    members.hear_of(row, now);
+                    members.record_relayed_member(row, now);
                 }
             }
             Err(error) => log::warn!(target: "members", "Peers can't be looked up: {error}."),
--- a/crates/pinhaven-entry/src/peers/recipients.rs
+++ b/crates/pinhaven-entry/src/peers/recipients.rs
@@ -67,10 +67,10 @@
             serving.contains(peer) || delegates.contains(peer) || active.contains(peer)
         };
         let (close, distant): (Vec<&MemberRow>, Vec<&MemberRow>) = members
-            .peers_to_ask()
+            .contactable_peers()
             .into_iter()
             .partition(|row| is_close(row));
-        let is_candidate = members.place_in_domain(now) < CANDIDATES_PER_DOMAIN;
+        let is_candidate = members.rank_in_domain(now) < CANDIDATES_PER_DOMAIN;
         let is_stopping = own.state >= MemberState::Stopping;
         let domain = &own.failure_domain;
         let mut recipients = match occasion {
--- a/crates/pinhaven-entry/src/stop.rs
+++ b/crates/pinhaven-entry/src/stop.rs
@@ -70,7 +70,7 @@
 pub(crate) async fn stop(entry: &Arc<Entry>, servers: &Servers) -> bool {
     entry.record_event("entry", "stopping");
     log::info!(target: "stop", "Stopping; callers are told to use other entries.");
-    entry.members.lock().advance(MemberState::Stopping);
+    entry.members.lock().advance_state(MemberState::Stopping);
     entry.news.notify(usize::MAX);
     let plan = StopPlan::new(entry);
     let writer = Arc::clone(entry);
--- a/crates/pinhaven-entry/src/targets/listed_targets.rs
+++ b/crates/pinhaven-entry/src/targets/listed_targets.rs
@@ -57,7 +57,7 @@
             } else if self.read_targets().await {
                 pause = RetryPause::default();
             } else {
-                let place = self.members.lock().place_among_all(self.now());
+                let place = self.members.lock().rank_among_all(self.now());
                 pause_before_retry(&mut pause, place as u32).await;
             }
         }
--- a/crates/pinhaven-entry/src/versions/bundles.rs
+++ b/crates/pinhaven-entry/src/versions/bundles.rs
@@ -151,7 +151,7 @@
         let members = self.members.lock();
         let own = members.own().peer_address;
         let known = members
-            .peers_to_ask()
+            .contactable_peers()
             .into_iter()
             .map(|row| row.peer_address);
         let mut addresses: Vec<SocketAddr> = known
@@ -253,7 +253,7 @@
         log::info!(target: "bundle", "Version {number}, signed off by {signer}, is in force.");
         self.become_ready();
         let epoch = self.ledger.lock().epoch().0;
-        self.members.lock().beat(number, epoch);
+        self.members.lock().advance_heartbeat(number, epoch);
         self.news.notify(usize::MAX);
         true
     }
@@ -287,7 +287,7 @@
         let knows_targets = self.discovery.is_none() || self.targets.lock().is_known();
         let mut members = self.members.lock();
         if members.own().state == MemberState::Starting && knows_version && knows_targets {
-            members.advance(MemberState::Ready);
+            members.advance_state(MemberState::Ready);
             drop(members);
             self.is_ready.store(true, Ordering::Relaxed);
             self.became_ready.notify(usize::MAX);
--- a/crates/pinhaven-entry/src/watch/status.rs
+++ b/crates/pinhaven-entry/src/watch/status.rs
@@ -140,7 +140,7 @@
     let now = entry.now();
     let members = entry.members.lock();
     let own = members.own().clone();
-    let others = members.others().map(|member| MemberStatus {
+    let others = members.peers().map(|member| MemberStatus {
         row: member.row.clone(),
         is_live: members.is_live(member, now),
     });
--- a/crates/pinhaven-lab/src/versions/instance.rs
+++ b/crates/pinhaven-lab/src/versions/instance.rs
@@ -96,7 +96,7 @@
     pub(super) fn new(entry: usize, held: BundleVersion, plan: &VersionsPlan) -> Self {
         let mut members = Membership::new(row_of(entry, held, plan), SILENT_AFTER);
         for other in (0..plan.entries).filter(|other| *other != entry) {
-            members.hear(
+            members.record_member(
                 row_of(other, BundleVersion::new(1), plan),
                 Microseconds::ZERO,
             );
@@ -146,7 +146,7 @@
         self.held = version;
         self.lag.put_in_force(version);
         self.fetch.put_in_force();
-        self.members.beat(version, 0);
+        self.members.advance_heartbeat(version, 0);
     }
 
     fn keep_delta(&mut self, delta: KeptDelta) {
--- a/crates/pinhaven-lab/src/versions/news.rs
+++ b/crates/pinhaven-lab/src/versions/news.rs
@@ -44,8 +44,8 @@
         let was_delegate = instance.is_delegate;
         instance.is_delegate = instance.members.is_delegate(now);
         let begins = instance.is_delegate && !was_delegate;
-        instance.members.beat(instance.held, 0);
-        instance.members.forget_silent(now);
+        instance.members.advance_heartbeat(instance.held, 0);
+        instance.members.remove_silent(now);
         if begins && !instance.waits_for_store {
             self.queue.plan(self.now_us, Event::AskStore(entry));
         }
@@ -78,12 +78,12 @@
             .into_iter()
             .map(|row| row.peer_address)
             .collect();
-        let peers = members.peers_to_ask();
+        let peers = members.contactable_peers();
         let is_delegate = delegates.contains(&members.own().peer_address);
         if is_urgent && is_delegate {
             return peers.into_iter().map(|row| row.peer_address).collect();
         }
-        let is_candidate = members.place_in_domain(now) < CANDIDATES_PER_DOMAIN;
+        let is_candidate = members.rank_in_domain(now) < CANDIDATES_PER_DOMAIN;
         let (near, far): (Vec<&MemberRow>, Vec<&MemberRow>) = peers
             .into_iter()
             .partition(|row| row.failure_domain == *domain);
@@ -137,9 +137,9 @@
             return;
         };
         let members = &mut self.instances[entry].members;
-        members.hear(sender.clone(), now);
+        members.record_member(sender.clone(), now);
         for row in others {
-            members.hear_of(row.clone(), now);
+            members.record_relayed_member(row.clone(), now);
         }
         self.hear_version(entry, entry_at(sender.peer_address), sender.version);
     }
