--- a/crates/pinhaven-agree/src/demand.rs
+++ b/crates/pinhaven-agree/src/demand.rs
@@ -8,7 +8,7 @@
 
 /// The shortest time over which a rate is taken. Over less, a handful of requests that come together
 /// would look like a burst.
-const WINDOW_LEAST: Microseconds = Microseconds::from_ms(450);
+const WINDOW_MIN: Microseconds = Microseconds::from_ms(450);
 /// Time after which a rate that was reached counts half. Callers keep an address answer for seconds,
 /// so a number of entries that followed each lull would always be late.
 const HALF_AFTER_MS: f64 = 10_000.0;
@@ -25,7 +25,7 @@
     /// Takes in how many requests there were up to `now`, and says what the rate is.
     pub fn record(&mut self, counted: u64, now: Microseconds) -> RequestRate {
         let window = now.saturating_sub(self.counted_at);
-        if window < WINDOW_LEAST {
+        if window < WINDOW_MIN {
             return self.rate();
         }
         let new = counted.saturating_sub(self.counted) as f64;
--- a/crates/pinhaven-agree/src/ledger.rs
+++ b/crates/pinhaven-agree/src/ledger.rs
@@ -20,7 +20,7 @@
 use std::str::FromStr;
 
 /// Epochs whose requests are remembered, the current one included.
-const EPOCHS_KEPT: u64 = 3;
+const EPOCHS_RETAINED: u64 = 3;
 
 /// Number of an epoch of one incarnation, counted from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -97,7 +97,7 @@
 
 /// Digest of all that makes a request what it is; a repeated one must have the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Fingerprint(pub Digest);
+pub struct OnceFingerprint(pub Digest);
 
 /// An answer that is kept for repeated requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -121,11 +121,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct LedgerLimits {
     /// Records at a time.
-    pub records_most: usize,
+    pub records_max: usize,
     /// The largest answer kept, in bytes.
-    pub answer_bytes_most: usize,
+    pub answer_bytes_max: usize,
     /// All answers kept together, in bytes.
-    pub all_answer_bytes_most: usize,
+    pub all_answer_bytes_max: usize,
 }
 
 /// The right and the duty to dispatch a request and say what became of it.
@@ -138,7 +138,7 @@
 
 /// What to do with a once-only request.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Begin {
+pub enum BeginOutcome {
     /// Dispatch it, and settle the claim.
     Dispatch(Claim),
     /// This sending, or a later one, was said not to have run; it did not and will not.
@@ -162,7 +162,7 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-enum Fate {
+enum RecordState {
     /// It may be at a target now.
     InFlight,
     /// It is proved not to have run, and sendings up to this one never will.
@@ -175,8 +175,8 @@
 
 #[derive(Debug)]
 struct Record {
-    fingerprint: Fingerprint,
-    fate: Fate,
+    fingerprint: OnceFingerprint,
+    fate: RecordState,
 }
 
 /// The once-only requests of one incarnation.
@@ -224,43 +224,48 @@
         let forgotten = std::mem::replace(&mut self.records, kept);
         for record in forgotten.into_values().flat_map(HashMap::into_values) {
             self.record_count -= 1;
-            if let Fate::Answered(Some(answer)) = record.fate {
+            if let RecordState::Answered(Some(answer)) = record.fate {
                 self.answer_bytes -= answer.bytes();
             }
         }
     }
 
     /// Takes a request in and says what to do with it.
-    pub fn begin(&mut self, key: OnceKey, sending: Sending, fingerprint: Fingerprint) -> Begin {
+    pub fn begin(
+        &mut self,
+        key: OnceKey,
+        sending: Sending,
+        fingerprint: OnceFingerprint,
+    ) -> BeginOutcome {
         if key.epoch > self.epoch || key.epoch < Epoch(1) {
-            return Begin::NeverIssued;
+            return BeginOutcome::NeverIssued;
         }
         if key.epoch < self.oldest_epoch() {
-            return Begin::Forgotten;
+            return BeginOutcome::Forgotten;
         }
-        let is_full = self.record_count >= self.limits.records_most;
+        let is_full = self.record_count >= self.limits.records_max;
         let records = self.records.entry(key.epoch).or_default();
         let Some(record) = records.get_mut(&key) else {
             if is_full {
-                return Begin::Full;
+                return BeginOutcome::Full;
             }
-            let fate = Fate::InFlight;
+            let fate = RecordState::InFlight;
             records.insert(key.clone(), Record { fingerprint, fate });
             self.record_count += 1;
-            return Begin::Dispatch(Claim { key, sending });
+            return BeginOutcome::Dispatch(Claim { key, sending });
         };
         if record.fingerprint != fingerprint {
-            return Begin::OtherRequest;
+            return BeginOutcome::OtherRequest;
         }
         match &record.fate {
-            Fate::InFlight => Begin::InFlight,
-            Fate::Answered(Some(answer)) => Begin::Answered(answer.clone()),
-            Fate::Answered(None) => Begin::AnsweredBefore,
-            Fate::Unknown => Begin::Unknown,
-            Fate::NotRun(refused) if sending <= *refused => Begin::RefusedBefore,
-            Fate::NotRun(_) => {
-                record.fate = Fate::InFlight;
-                Begin::Dispatch(Claim { key, sending })
+            RecordState::InFlight => BeginOutcome::InFlight,
+            RecordState::Answered(Some(answer)) => BeginOutcome::Answered(answer.clone()),
+            RecordState::Answered(None) => BeginOutcome::AnsweredBefore,
+            RecordState::Unknown => BeginOutcome::Unknown,
+            RecordState::NotRun(refused) if sending <= *refused => BeginOutcome::RefusedBefore,
+            RecordState::NotRun(_) => {
+                record.fate = RecordState::InFlight;
+                BeginOutcome::Dispatch(Claim { key, sending })
             }
         }
     }
@@ -268,9 +273,9 @@
     /// Settles a claim: the request ran and was answered.
     pub fn settle_answered(&mut self, claim: Claim, answer: StoredAnswer) {
         let bytes = answer.bytes();
-        let fits = bytes <= self.limits.answer_bytes_most
-            && self.answer_bytes + bytes <= self.limits.all_answer_bytes_most;
-        let is_held = self.settle(claim, Fate::Answered(fits.then_some(answer)));
+        let fits = bytes <= self.limits.answer_bytes_max
+            && self.answer_bytes + bytes <= self.limits.all_answer_bytes_max;
+        let is_held = self.settle(claim, RecordState::Answered(fits.then_some(answer)));
         if is_held && fits {
             self.answer_bytes += bytes;
         }
@@ -279,29 +284,31 @@
     /// Settles a claim: the request is proved not to have run. A later sending may begin it again.
     pub fn settle_not_run(&mut self, claim: Claim) {
         let refused = claim.sending;
-        self.settle(claim, Fate::NotRun(refused));
+        self.settle(claim, RecordState::NotRun(refused));
     }
 
     /// Settles a claim: nobody can tell whether the request ran.
     pub fn settle_unknown(&mut self, claim: Claim) {
-        self.settle(claim, Fate::Unknown);
+        self.settle(claim, RecordState::Unknown);
     }
 
     /// Returns whether the record is still held.
-    fn settle(&mut self, claim: Claim, fate: Fate) -> bool {
+    fn settle(&mut self, claim: Claim, fate: RecordState) -> bool {
         let records = self.records.get_mut(&claim.key.epoch);
         let Some(record) = records.and_then(|records| records.get_mut(&claim.key)) else {
             // Its epoch was forgotten while it was in flight; a repeat is answered "unknown".
             return false;
         };
-        require_promise(Promise::AtMostOnce, record.fate == Fate::InFlight, || {
-            format!("a claim on {} was settled twice", claim.key.key)
-        });
+        require_promise(
+            Promise::AtMostOnce,
+            record.fate == RecordState::InFlight,
+            || format!("a claim on {} was settled twice", claim.key.key),
+        );
         record.fate = fate;
         true
     }
 
     fn oldest_epoch(&self) -> Epoch {
-        Epoch((self.epoch.0 + 1).saturating_sub(EPOCHS_KEPT).max(1))
+        Epoch((self.epoch.0 + 1).saturating_sub(EPOCHS_RETAINED).max(1))
     }
 }
--- a/crates/pinhaven-agree/src/membership.rs
+++ b/crates/pinhaven-agree/src/membership.rs
@@ -21,11 +21,11 @@
 use std::net::SocketAddr;
 
 /// Weight of the gaps between heartbeats that were heard before, against one of the new.
-const GAPS: u64 = 4;
+const GAP_WEIGHT: u64 = 4;
 /// Usual gaps after which a member counts as silent.
-const GAPS_MISSED: u64 = 4;
+const MISSED_GAPS_MAX: u64 = 4;
 /// The most time for which any member may be silent, in times the least.
-const SILENT_MOST: u64 = 5;
+const SILENCE_FACTOR_MAX: u64 = 5;
 
 /// Life cycle of an entry, as it tells others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -178,8 +178,9 @@
         let state = member.row.state.max(row.state);
         member.row = MemberRow { state, ..row };
         let gap = now.saturating_sub(member.heartbeat_at);
-        member.mean_gap =
-            Microseconds::new((member.mean_gap.count() * (GAPS - 1) + gap.count()) / GAPS);
+        member.mean_gap = Microseconds::new(
+            (member.mean_gap.count() * (GAP_WEIGHT - 1) + gap.count()) / GAP_WEIGHT,
+        );
         member.heartbeat_at = now;
         member.is_confirmed = true;
         true
@@ -210,8 +211,8 @@
     /// because it was not heard of for as long as one that speaks to this entry itself may be silent.
     fn silent_after_of(&self, member: &Member) -> Microseconds {
         let least = self.silent_after.count();
-        let usual = member.mean_gap.count() * GAPS_MISSED;
-        Microseconds::new(usual.clamp(least, least * SILENT_MOST))
+        let usual = member.mean_gap.count() * MISSED_GAPS_MAX;
+        Microseconds::new(usual.clamp(least, least * SILENCE_FACTOR_MAX))
     }
 
     /// This entry and all live members, with the ranks that all entries agree on.
--- a/crates/pinhaven-agree/src/seat.rs
+++ b/crates/pinhaven-agree/src/seat.rs
@@ -16,12 +16,12 @@
 /// How often a seat is renewed, and looked at by those who have none.
 const RENEW_EVERY: Microseconds = Microseconds::from_ms(3_000);
 /// How long a holder relies on its last renewal.
-const HOLD_FOR: Microseconds = Microseconds::from_ms(9_000);
+const LEASE_DURATION: Microseconds = Microseconds::from_ms(9_000);
 /// How long a seat must stand still before another entry takes it.
-const TAKE_AFTER: Microseconds = Microseconds::from_ms(20_000);
+const TAKEOVER_AFTER: Microseconds = Microseconds::from_ms(20_000);
 
 /// Who holds a seat whose row names no holder; no process has this incarnation.
-const NOBODY: Incarnation = Incarnation::new(0);
+const NO_HOLDER: Incarnation = Incarnation::new(0);
 
 /// A seat's row at the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,9 +37,9 @@
     /// taken once the row has stood still for long, and not while its true holder may rely on it.
     /// The renewals begin at a number of that write's own, which `version` names: counted from 0 again, the
     /// row of a holder would come back as it was, and look as if it had stood still since.
-    pub fn of_nobody(version: &str) -> Self {
+    pub fn without_holder(version: &str) -> Self {
         Self {
-            holder: NOBODY,
+            holder: NO_HOLDER,
             renewals: Digest::of(version.as_bytes()).short(),
         }
     }
@@ -48,10 +48,10 @@
 /// What to do about the seats.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SeatAction {
-    /// List the seats' rows and hand them to [`SeatKeeper::take_rows`].
+    /// List the seats' rows and hand them to [`SeatKeeper::record_rows`].
     List,
     /// Write a seat's row on the condition that it is as it was listed (or absent), and hand the
-    /// outcome to [`SeatKeeper::take_written`].
+    /// outcome to [`SeatKeeper::record_write`].
     Write {
         /// Number of the seat.
         seat: u32,
@@ -63,7 +63,7 @@
 }
 
 #[derive(Debug)]
-struct Seen {
+struct ObservedRow {
     row: SeatRow,
     since: Microseconds,
 }
@@ -73,7 +73,7 @@
 pub struct SeatKeeper {
     incarnation: Incarnation,
     seats: u32,
-    seen: BTreeMap<u32, Seen>,
+    observed: BTreeMap<u32, ObservedRow>,
     held: Option<(u32, Microseconds)>,
     next_at: Microseconds,
 }
@@ -84,7 +84,7 @@
         Self {
             incarnation,
             seats,
-            seen: BTreeMap::new(),
+            observed: BTreeMap::new(),
             held: None,
             next_at: Microseconds::ZERO,
         }
@@ -101,7 +101,7 @@
     /// The seat that may be used at `now`. Ask before each use.
     pub fn seat(&self, now: Microseconds) -> Option<u32> {
         let (seat, renewed_at) = self.held?;
-        (now.saturating_sub(renewed_at) < HOLD_FOR).then_some(seat)
+        (now.saturating_sub(renewed_at) < LEASE_DURATION).then_some(seat)
     }
 
     /// What to do at `now`, if anything.
@@ -114,12 +114,12 @@
     }
 
     /// Takes the listed rows in; returns the write to try.
-    pub fn take_rows(
+    pub fn record_rows(
         &mut self,
         rows: &BTreeMap<u32, SeatRow>,
         now: Microseconds,
     ) -> Option<SeatAction> {
-        self.remember(rows, now);
+        self.observe(rows, now);
         let own = rows
             .iter()
             .find(|(seat, row)| **seat < self.seats && row.holder == self.incarnation);
@@ -133,7 +133,7 @@
 
     /// Takes in whether a write took effect. `asked_at` is when it was begun: a renewal counts from
     /// there, as others may have seen it any time after.
-    pub fn take_written(&mut self, seat: u32, took_effect: bool, asked_at: Microseconds) {
+    pub fn record_write(&mut self, seat: u32, took_effect: bool, asked_at: Microseconds) {
         if took_effect {
             self.held = Some((seat, asked_at));
         } else if self.held.is_some_and(|(held, _)| held == seat) {
@@ -155,21 +155,21 @@
         }
     }
 
-    fn remember(&mut self, rows: &BTreeMap<u32, SeatRow>, now: Microseconds) {
+    fn observe(&mut self, rows: &BTreeMap<u32, SeatRow>, now: Microseconds) {
         for (seat, row) in rows {
-            let is_same = self.seen.get(seat).is_some_and(|seen| seen.row == *row);
+            let is_same = self.observed.get(seat).is_some_and(|seen| seen.row == *row);
             if !is_same {
                 let row = row.clone();
-                self.seen.insert(*seat, Seen { row, since: now });
+                self.observed.insert(*seat, ObservedRow { row, since: now });
             }
         }
-        self.seen.retain(|seat, _| rows.contains_key(seat));
+        self.observed.retain(|seat, _| rows.contains_key(seat));
     }
 
     fn is_free(&self, seat: u32, now: Microseconds) -> bool {
-        match self.seen.get(&seat) {
+        match self.observed.get(&seat) {
             None => true,
-            Some(seen) => now.saturating_sub(seen.since) >= TAKE_AFTER,
+            Some(seen) => now.saturating_sub(seen.since) >= TAKEOVER_AFTER,
         }
     }
 }
--- a/crates/pinhaven-agree/src/steering.rs
+++ b/crates/pinhaven-agree/src/steering.rs
@@ -26,11 +26,11 @@
 /// the demand that is known is the most of the last seconds.
 const HEADROOM: f64 = 1.2;
 /// Entries that an answer names at least, if there are so many.
-const NAMED_LEAST: usize = 2;
+const NAMED_MIN: usize = 2;
 /// Entries that an answer names at most; callers take no more.
-const NAMED_MOST: usize = 64;
+const NAMED_MAX: usize = 64;
 /// Entries that speak with the store for the others, at least; each may be cut off from it.
-const DELEGATES_LEAST: usize = 6;
+const DELEGATES_MIN: usize = 6;
 /// The same in each failure domain.
 const DELEGATES_PER_DOMAIN: usize = 2;
 
@@ -65,7 +65,7 @@
     ) -> Vec<&MemberRow> {
         let mut serving = self.serving(now);
         let is_near = |row: &&MemberRow| region.is_none() || row.region.as_ref() == region;
-        if serving.iter().filter(|row| is_near(row)).count() >= NAMED_LEAST {
+        if serving.iter().filter(|row| is_near(row)).count() >= NAMED_MIN {
             serving.retain(is_near);
         }
         let largest = serving.iter().map(|row| row.capacity).max();
@@ -73,9 +73,9 @@
         let (mut named, spare): (Vec<&MemberRow>, Vec<&MemberRow>) = serving
             .into_iter()
             .partition(|row| draw() * largest <= row.capacity.per_second() as f32);
-        let missing = NAMED_LEAST.saturating_sub(named.len());
+        let missing = NAMED_MIN.saturating_sub(named.len());
         named.extend(spare.into_iter().take(missing));
-        named.truncate(NAMED_MOST);
+        named.truncate(NAMED_MAX);
         named.sort_by_key(|row| Some(&row.failure_domain) != domain);
         named
     }
@@ -150,7 +150,7 @@
 fn delegates_per_domain(ranked: &[Ranked<'_>]) -> usize {
     let domains: BTreeSet<&FailureDomain> =
         ranked.iter().map(|(_, row)| &row.failure_domain).collect();
-    DELEGATES_LEAST
+    DELEGATES_MIN
         .div_ceil(domains.len().max(1))
         .max(DELEGATES_PER_DOMAIN)
 }
--- a/crates/pinhaven-agree/src/store_lag.rs
+++ b/crates/pinhaven-agree/src/store_lag.rs
@@ -14,13 +14,13 @@
 
 impl StoreLag {
     /// Takes in a version that the store itself gave.
-    pub fn take(&mut self, version: BundleVersion) {
+    pub fn record_store_version(&mut self, version: BundleVersion) {
         self.from_store = self.from_store.max(version);
     }
 
     /// Takes in that a peer has a version. Returns whether the store has to be watched for it: once a
     /// version, however many peers tell of it and however often.
-    pub fn begin_expecting(&mut self, version: BundleVersion) -> bool {
+    pub fn expect_version(&mut self, version: BundleVersion) -> bool {
         let is_new = version > self.expected && self.lacks(version);
         self.expected = self.expected.max(version);
         is_new
--- a/crates/pinhaven-agree/src/transfer_budget.rs
+++ b/crates/pinhaven-agree/src/transfer_budget.rs
@@ -12,7 +12,7 @@
 /// What may be begun at once after a quiet time, as the time in which that share of the link carries it.
 const BURST: Microseconds = Microseconds::from_ms(50);
 /// The longest that an asker is told to stay away.
-pub const AWAY_MOST: Microseconds = Microseconds::from_ms(500);
+pub const RETRY_DELAY_MAX: Microseconds = Microseconds::from_ms(500);
 /// Bytes a second in a megabit a second.
 const BYTES_PER_MEGABIT: f64 = 125_000.0;
 /// Microseconds in a second.
@@ -20,13 +20,13 @@
 
 /// What may be given to peers.
 #[derive(Debug)]
-pub struct GivingBudget {
+pub struct TransferBudget {
     bytes_per_s: f64,
     left_bytes: f64,
     filled_at: Microseconds,
 }
 
-impl GivingBudget {
+impl TransferBudget {
     /// The budget of an instance with such a link, in megabits a second.
     pub fn new(link_mbps: f64) -> Self {
         let bytes_per_s = link_mbps * BYTES_PER_MEGABIT * LINK_SHARE;
@@ -49,7 +49,9 @@
         self.filled_at = now;
         if self.left_bytes <= 0.0 {
             let until = -self.left_bytes / self.bytes_per_s * MICROSECONDS;
-            return Err(Microseconds::new(until as u64).clamp(Microseconds::from_ms(1), AWAY_MOST));
+            return Err(
+                Microseconds::new(until as u64).clamp(Microseconds::from_ms(1), RETRY_DELAY_MAX)
+            );
         }
         self.left_bytes -= bytes as f64;
         Ok(())
--- a/crates/pinhaven-agree/tests/foreign_seats.rs
+++ b/crates/pinhaven-agree/tests/foreign_seats.rs
@@ -24,7 +24,7 @@
         renewals: u64::MAX,
     };
     let rows = BTreeMap::from([(0, listed.clone())]);
-    let Some(SeatAction::Write { row, .. }) = keeper.take_rows(&rows, at_ms(0)) else {
+    let Some(SeatAction::Write { row, .. }) = keeper.record_rows(&rows, at_ms(0)) else {
         panic!("the own seat is renewed");
     };
     assert_ne!(
@@ -37,16 +37,16 @@
 #[test]
 fn a_seat_whose_row_names_nobody_is_taken_once_it_has_stood_still_for_long() {
     let mut keeper = SeatKeeper::new(OWN, 1);
-    let rows = BTreeMap::from([(0, SeatRow::of_nobody("1"))]);
-    assert_eq!(keeper.take_rows(&rows, at_ms(0)), None);
-    assert_eq!(keeper.take_rows(&rows, at_ms(15_000)), None);
-    let taken = keeper.take_rows(&rows, at_ms(20_000));
+    let rows = BTreeMap::from([(0, SeatRow::without_holder("1"))]);
+    assert_eq!(keeper.record_rows(&rows, at_ms(0)), None);
+    assert_eq!(keeper.record_rows(&rows, at_ms(15_000)), None);
+    let taken = keeper.record_rows(&rows, at_ms(20_000));
     assert!(matches!(taken, Some(SeatAction::Write { seat: 0, .. })));
 
     let mut keeper = SeatKeeper::new(OWN, 1);
     for time_ms in (0..60_000).step_by(3_000) {
-        let rows = BTreeMap::from([(0, SeatRow::of_nobody(&time_ms.to_string()))]);
-        let taken = keeper.take_rows(&rows, at_ms(time_ms));
+        let rows = BTreeMap::from([(0, SeatRow::without_holder(&time_ms.to_string()))]);
+        let taken = keeper.record_rows(&rows, at_ms(time_ms));
         assert_eq!(taken, None, "another writer still writes it");
     }
 }
@@ -63,16 +63,16 @@
         for (version, (draw, step, is_spoiled)) in steps.into_iter().enumerate() {
             time_ms += u64::from(step) * 20;
             if is_spoiled && draw % 8 == 0 {
-                let row = SeatRow::of_nobody(&version.to_string());
+                let row = SeatRow::without_holder(&version.to_string());
                 rows.insert(u32::from(draw / 8 % 2), row);
             }
             let keeper = &mut keepers[usize::from(draw) % 3];
             if keeper.tick(at_ms(time_ms)) == Some(SeatAction::List)
                 && let Some(SeatAction::Write { seat, row, .. }) =
-                    keeper.take_rows(&rows, at_ms(time_ms))
+                    keeper.record_rows(&rows, at_ms(time_ms))
             {
                 rows.insert(seat, row);
-                keeper.take_written(seat, true, at_ms(time_ms));
+                keeper.record_write(seat, true, at_ms(time_ms));
             }
             let mut seats: Vec<u32> = keepers
                 .iter()
--- a/crates/pinhaven-agree/tests/ledger.rs
+++ b/crates/pinhaven-agree/tests/ledger.rs
@@ -1,12 +1,12 @@
 //! Once-only requests: what a ledger lets through, and how much it remembers.
 
-use pinhaven_agree::Begin;
+use pinhaven_agree::BeginOutcome;
 use pinhaven_agree::Claim;
 use pinhaven_agree::Epoch;
-use pinhaven_agree::Fingerprint;
 use pinhaven_agree::Home;
 use pinhaven_agree::Ledger;
 use pinhaven_agree::LedgerLimits;
+use pinhaven_agree::OnceFingerprint;
 use pinhaven_agree::OnceKey;
 use pinhaven_agree::Sending;
 use pinhaven_agree::StoredAnswer;
@@ -19,9 +19,9 @@
 const FIRST: Sending = Sending::FIRST;
 
 const LIMITS: LedgerLimits = LedgerLimits {
-    records_most: 100,
-    answer_bytes_most: 50,
-    all_answer_bytes_most: 200,
+    records_max: 100,
+    answer_bytes_max: 50,
+    all_answer_bytes_max: 200,
 };
 
 fn key(epoch: u64, name: &str) -> OnceKey {
@@ -32,8 +32,8 @@
     }
 }
 
-fn body(text: &str) -> Fingerprint {
-    Fingerprint(Digest::of(text.as_bytes()))
+fn body(text: &str) -> OnceFingerprint {
+    OnceFingerprint(Digest::of(text.as_bytes()))
 }
 
 fn answer(bytes: usize) -> StoredAnswer {
@@ -44,9 +44,9 @@
     }
 }
 
-fn dispatched(begin: Begin) -> Claim {
+fn dispatched(begin: BeginOutcome) -> Claim {
     match begin {
-        Begin::Dispatch(claim) => claim,
+        BeginOutcome::Dispatch(claim) => claim,
         other => panic!("not dispatched: {other:?}"),
     }
 }
@@ -55,10 +55,13 @@
 fn a_key_is_dispatched_once_and_answered_from_memory_after_that() {
     let mut ledger = Ledger::new(LIMITS);
     let claim = dispatched(ledger.begin(key(1, "a"), FIRST, body("x")));
-    assert_eq!(ledger.begin(key(1, "a"), FIRST, body("x")), Begin::InFlight);
+    assert_eq!(
+        ledger.begin(key(1, "a"), FIRST, body("x")),
+        BeginOutcome::InFlight
+    );
     ledger.settle_answered(claim, answer(10));
     let again = ledger.begin(key(1, "a"), FIRST, body("x"));
-    assert_eq!(again, Begin::Answered(answer(10)));
+    assert_eq!(again, BeginOutcome::Answered(answer(10)));
 }
 
 #[test]
@@ -67,12 +70,12 @@
     let claim = dispatched(ledger.begin(key(1, "a"), FIRST, body("x")));
     assert_eq!(
         ledger.begin(key(1, "a"), FIRST, body("y")),
-        Begin::OtherRequest
+        BeginOutcome::OtherRequest
     );
     ledger.settle_answered(claim, answer(1));
     assert_eq!(
         ledger.begin(key(1, "a"), FIRST, body("y")),
-        Begin::OtherRequest
+        BeginOutcome::OtherRequest
     );
 }
 
@@ -92,7 +95,7 @@
     ledger.settle_not_run(claim);
     for late in 1..=3 {
         let begin = ledger.begin(key(1, "a"), Sending(late), body("x"));
-        assert_eq!(begin, Begin::RefusedBefore, "sending {late}");
+        assert_eq!(begin, BeginOutcome::RefusedBefore, "sending {late}");
     }
     let claim = dispatched(ledger.begin(key(1, "a"), Sending(4), body("x")));
     ledger.settle_answered(claim, answer(1));
@@ -104,7 +107,10 @@
     let claim = dispatched(ledger.begin(key(1, "a"), FIRST, body("x")));
     ledger.settle_unknown(claim);
     for _ in 0..3 {
-        assert_eq!(ledger.begin(key(1, "a"), FIRST, body("x")), Begin::Unknown);
+        assert_eq!(
+            ledger.begin(key(1, "a"), FIRST, body("x")),
+            BeginOutcome::Unknown
+        );
     }
 }
 
@@ -118,19 +124,19 @@
     }
     assert_eq!(
         ledger.begin(key(1, "a"), FIRST, body("x")),
-        Begin::Forgotten
+        BeginOutcome::Forgotten
     );
     assert_eq!(
         ledger.begin(key(1, "new"), FIRST, body("x")),
-        Begin::Forgotten
+        BeginOutcome::Forgotten
     );
     assert_eq!(
         ledger.begin(key(5, "a"), FIRST, body("x")),
-        Begin::NeverIssued
+        BeginOutcome::NeverIssued
     );
     assert_eq!(
         ledger.begin(key(0, "a"), FIRST, body("x")),
-        Begin::NeverIssued
+        BeginOutcome::NeverIssued
     );
     assert_eq!(ledger.record_count(), 0);
     assert_eq!(ledger.answer_bytes(), 0);
@@ -147,7 +153,7 @@
     assert_eq!(ledger.answer_bytes(), 0);
     assert_eq!(
         ledger.begin(key(1, "a"), FIRST, body("x")),
-        Begin::Forgotten
+        BeginOutcome::Forgotten
     );
 }
 
@@ -155,7 +161,7 @@
 fn a_full_ledger_refuses_new_keys_and_still_knows_the_old_ones() {
     let mut ledger = Ledger::new(LIMITS);
     let mut claims = Vec::new();
-    for number in 0..LIMITS.records_most {
+    for number in 0..LIMITS.records_max {
         claims.push(dispatched(ledger.begin(
             key(1, &number.to_string()),
             FIRST,
@@ -164,22 +170,25 @@
     }
     assert_eq!(
         ledger.begin(key(1, "one more"), FIRST, body("x")),
-        Begin::Full
+        BeginOutcome::Full
+    );
+    assert_eq!(
+        ledger.begin(key(1, "0"), FIRST, body("x")),
+        BeginOutcome::InFlight
     );
-    assert_eq!(ledger.begin(key(1, "0"), FIRST, body("x")), Begin::InFlight);
 }
 
 #[test]
 fn answers_that_do_not_fit_are_known_to_have_been_given() {
     let mut ledger = Ledger::new(LIMITS);
     let claim = dispatched(ledger.begin(key(1, "large"), FIRST, body("x")));
-    ledger.settle_answered(claim, answer(LIMITS.answer_bytes_most + 1));
+    ledger.settle_answered(claim, answer(LIMITS.answer_bytes_max + 1));
     let again = ledger.begin(key(1, "large"), FIRST, body("x"));
-    assert_eq!(again, Begin::AnsweredBefore);
+    assert_eq!(again, BeginOutcome::AnsweredBefore);
     for number in 0..10 {
         let claim = dispatched(ledger.begin(key(1, &number.to_string()), FIRST, body("x")));
         ledger.settle_answered(claim, answer(50));
-        assert!(ledger.answer_bytes() <= LIMITS.all_answer_bytes_most);
+        assert!(ledger.answer_bytes() <= LIMITS.all_answer_bytes_max);
     }
 }
 
@@ -208,7 +217,7 @@
                 let epoch = ledger.epoch().0.saturating_sub(u64::from(draw % 5));
                 let key = key(epoch, &(draw % 16).to_string());
                 sending += 1;
-                if let Begin::Dispatch(claim) =
+                if let BeginOutcome::Dispatch(claim) =
                     ledger.begin(key.clone(), Sending(sending), body("x"))
                 {
                     if may_have_run.insert(key.clone(), true) == Some(true) {
@@ -230,8 +239,8 @@
                 }
             }
         }
-        if ledger.record_count() > LIMITS.records_most
-            || ledger.answer_bytes() > LIMITS.all_answer_bytes_most
+        if ledger.record_count() > LIMITS.records_max
+            || ledger.answer_bytes() > LIMITS.all_answer_bytes_max
         {
             return false;
         }
--- a/crates/pinhaven-agree/tests/seat.rs
+++ b/crates/pinhaven-agree/tests/seat.rs
@@ -43,11 +43,11 @@
     if keeper.tick(now) != Some(SeatAction::List) {
         return;
     }
-    let Some(SeatAction::Write { seat, listed, row }) = keeper.take_rows(&table.rows, now) else {
+    let Some(SeatAction::Write { seat, listed, row }) = keeper.record_rows(&table.rows, now) else {
         return;
     };
     let took_effect = table.write(seat, listed.as_ref(), &row);
-    keeper.take_written(seat, took_effect && !is_lost, now);
+    keeper.record_write(seat, took_effect && !is_lost, now);
 }
 
 #[test]
--- a/crates/pinhaven-agree/tests/store_pace.rs
+++ b/crates/pinhaven-agree/tests/store_pace.rs
@@ -1,6 +1,6 @@
 //! How entries ask the store when it fails them.
 
-use pinhaven_agree::RetryPause;
+use pinhaven_agree::RetryBackoff;
 use pinhaven_agree::StoreLag;
 use pinhaven_agree::pause_after_answer;
 use pinhaven_types::BundleVersion;
@@ -10,12 +10,12 @@
 
 /// Calls that an entry makes in an outage, at the middle of what is drawn.
 fn calls_in_outage(rank: u32) -> u32 {
-    let mut pause = RetryPause::default();
+    let mut pause = RetryBackoff::default();
     let mut spent = Microseconds::ZERO;
     let mut calls = 0;
     while spent < OUTAGE {
         calls += 1;
-        spent = spent.plus(pause.next(rank, 0.5));
+        spent = spent.plus(pause.next_delay(rank, 0.5));
     }
     calls
 }
@@ -23,9 +23,9 @@
 #[test]
 fn the_first_entries_notice_the_return_of_the_store_within_a_second() {
     for rank in 0..8 {
-        let mut pause = RetryPause::default();
+        let mut pause = RetryBackoff::default();
         for _ in 0..10 {
-            assert!(pause.next(rank, 0.5) <= Microseconds::from_ms(1_000));
+            assert!(pause.next_delay(rank, 0.5) <= Microseconds::from_ms(1_000));
         }
     }
 }
@@ -42,14 +42,14 @@
 fn a_version_that_many_peers_tell_of_is_expected_from_the_store_once() {
     let mut lag = StoreLag::default();
     let (third, fourth) = (BundleVersion::new(3), BundleVersion::new(4));
-    let told = (0..50).filter(|_| lag.begin_expecting(third)).count();
+    let told = (0..50).filter(|_| lag.expect_version(third)).count();
     assert_eq!(told, 1);
     assert!(lag.lacks(third));
-    lag.take(third);
+    lag.record_store_version(third);
     assert!(!lag.lacks(third));
-    assert!(lag.begin_expecting(fourth));
+    assert!(lag.expect_version(fourth));
     assert!(
-        !lag.begin_expecting(third),
+        !lag.expect_version(third),
         "what the store brought is not expected"
     );
 }
@@ -57,8 +57,8 @@
 #[test]
 fn a_newer_version_from_the_store_stands_for_those_before() {
     let mut lag = StoreLag::default();
-    lag.take(BundleVersion::new(9));
-    assert!(!lag.begin_expecting(BundleVersion::new(8)));
+    lag.record_store_version(BundleVersion::new(9));
+    assert!(!lag.expect_version(BundleVersion::new(8)));
     assert!(!lag.lacks(BundleVersion::new(8)));
 }
 
--- a/crates/pinhaven-agree/tests/version_fetch.rs
+++ b/crates/pinhaven-agree/tests/version_fetch.rs
@@ -1,14 +1,14 @@
 //! Getting a version part by part: what has come is kept, and every try ends nearer to the version.
 
-use pinhaven_agree::AWAY_MOST;
 use pinhaven_agree::Fetched;
-use pinhaven_agree::GivingBudget;
 use pinhaven_agree::MemberRow;
 use pinhaven_agree::MemberState;
 use pinhaven_agree::Membership;
 use pinhaven_agree::PART_BYTES_MAX;
 use pinhaven_agree::Part;
 use pinhaven_agree::PartRequest;
+use pinhaven_agree::RETRY_DELAY_MAX;
+use pinhaven_agree::TransferBudget;
 use pinhaven_agree::VersionFetch;
 use pinhaven_types::BundleVersion;
 use pinhaven_types::Digest;
@@ -208,12 +208,12 @@
 #[test]
 fn giving_keeps_to_half_of_the_link_and_sends_nobody_away_for_long() {
     // 10 Mbit/s are 1.25 MB a second.
-    let mut budget = GivingBudget::new(10.0);
+    let mut budget = TransferBudget::new(10.0);
     let mut given_bytes = 0;
     for time_ms in 0..10_000 {
         match budget.begin(PACKAGE_BYTES, Microseconds::from_ms(time_ms)) {
             Ok(()) => given_bytes += PACKAGE_BYTES,
-            Err(away) => assert!(away <= AWAY_MOST),
+            Err(away) => assert!(away <= RETRY_DELAY_MAX),
         }
     }
     let share = given_bytes as f64 / 12_500_000.0;
@@ -222,14 +222,14 @@
 
 #[test]
 fn few_packages_are_begun_at_a_time_so_that_their_askers_can_soon_give_them_on() {
-    let mut budget = GivingBudget::new(10.0);
+    let mut budget = TransferBudget::new(10.0);
     let at_once = (0..100).filter(|_| budget.begin(PACKAGE_BYTES, Microseconds::ZERO).is_ok());
     assert_eq!(at_once.count(), 2);
 }
 
 #[test]
 fn a_link_that_takes_minutes_for_a_package_gives_it_all_the_same() {
-    let mut budget = GivingBudget::new(0.01);
+    let mut budget = TransferBudget::new(0.01);
     assert_eq!(budget.begin(PACKAGE_BYTES, Microseconds::ZERO), Ok(()));
     let later = (1..600).find(|second| {
         let now = Microseconds::from_ms(second * 1_000);
--- a/crates/pinhaven-entry/src/entry.rs
+++ b/crates/pinhaven-entry/src/entry.rs
@@ -16,7 +16,6 @@
 use crate::wire::dialect::Dialect;
 use arc_swap::ArcSwap;
 use parking_lot::Mutex;
-use pinhaven_agree::GivingBudget;
 use pinhaven_agree::Home;
 use pinhaven_agree::KnownTargets;
 use pinhaven_agree::Ledger;
@@ -28,6 +27,7 @@
 use pinhaven_agree::RecentDeltas;
 use pinhaven_agree::SeatKeeper;
 use pinhaven_agree::StoreLag;
+use pinhaven_agree::TransferBudget;
 use pinhaven_agree::VersionFetch;
 use pinhaven_agree::VersionInForce;
 use pinhaven_agree::VersionLag;
@@ -125,7 +125,7 @@
     pub(crate) recent_deltas: Mutex<RecentDeltas>,
     /// Packages that peers are taking.
     pub(crate) packages: Mutex<Packages>,
-    pub(crate) giving: Mutex<GivingBudget>,
+    pub(crate) giving: Mutex<TransferBudget>,
     pub(crate) adopting: Mutex<()>,
     pub(crate) is_fetching: AtomicBool,
     pub(crate) is_fetching_list: AtomicBool,
@@ -175,9 +175,9 @@
     ) -> Arc<Self> {
         let incarnation = Incarnation::random();
         let limits = LedgerLimits {
-            records_most: settings.ledger_records,
-            answer_bytes_most: STORED_ANSWER_BYTES_MAX,
-            all_answer_bytes_most: STORED_ANSWERS_BYTES_MAX,
+            records_max: settings.ledger_records,
+            answer_bytes_max: STORED_ANSWER_BYTES_MAX,
+            all_answer_bytes_max: STORED_ANSWERS_BYTES_MAX,
         };
         let row = MemberRow {
             incarnation,
@@ -213,7 +213,7 @@
             version_fetch: Mutex::default(),
             recent_deltas: Mutex::new(RecentDeltas::default()),
             packages: Mutex::default(),
-            giving: Mutex::new(GivingBudget::new(settings.resources.link_mbps)),
+            giving: Mutex::new(TransferBudget::new(settings.resources.link_mbps)),
             adopting: Mutex::new(()),
             is_fetching: AtomicBool::new(false),
             is_fetching_list: AtomicBool::new(false),
--- a/crates/pinhaven-entry/src/once_only/once.rs
+++ b/crates/pinhaven-entry/src/once_only/once.rs
@@ -20,11 +20,11 @@
 use http::HeaderValue;
 use http::Response;
 use http::StatusCode;
-use pinhaven_agree::Begin;
+use pinhaven_agree::BeginOutcome;
 use pinhaven_agree::Claim;
 use pinhaven_agree::Epoch;
-use pinhaven_agree::Fingerprint;
 use pinhaven_agree::Home;
+use pinhaven_agree::OnceFingerprint;
 use pinhaven_agree::OnceKey;
 use pinhaven_agree::Sending;
 use pinhaven_agree::StoredAnswer;
@@ -136,7 +136,7 @@
         .lock()
         .begin(once_key, sending, fingerprint);
     let claim = match begin {
-        Begin::Dispatch(claim) => claim,
+        BeginOutcome::Dispatch(claim) => claim,
         other => return answer_without_dispatch(&job, other),
     };
     let (sender, receiver) = async_channel::bounded(1);
@@ -190,14 +190,14 @@
     Response::from_parts(head, whole_body(body))
 }
 
-fn answer_without_dispatch(job: &Job, begin: Begin) -> Response<AnyBody> {
+fn answer_without_dispatch(job: &Job, begin: BeginOutcome) -> Response<AnyBody> {
     let counters = &job.entry.counters;
     match begin {
-        Begin::Answered(answer) => {
+        BeginOutcome::Answered(answer) => {
             counters.add(Count::OnceReplayed);
             stored_response(answer)
         }
-        Begin::InFlight => {
+        BeginOutcome::InFlight => {
             counters.add(Count::OnceInFlight);
             Problem::unknown(
                 StatusCode::CONFLICT,
@@ -207,7 +207,7 @@
             .with_retry_after_ms(IN_FLIGHT_RETRY_MS)
             .into_response()
         }
-        Begin::AnsweredBefore => {
+        BeginOutcome::AnsweredBefore => {
             counters.add(Count::OnceReplayed);
             Problem::unknown(
                 StatusCode::CONFLICT,
@@ -217,7 +217,7 @@
             .with_run_state(RunState::Run)
             .into_response()
         }
-        Begin::OtherRequest => {
+        BeginOutcome::OtherRequest => {
             counters.add(Count::OnceOtherRequest);
             Problem::not_run(
                 StatusCode::UNPROCESSABLE_ENTITY,
@@ -226,7 +226,7 @@
             )
             .into_response()
         }
-        Begin::RefusedBefore => {
+        BeginOutcome::RefusedBefore => {
             counters.add(Count::OnceReplayed);
             Problem::not_run(
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -235,7 +235,7 @@
             )
             .into_response()
         }
-        Begin::Full => {
+        BeginOutcome::Full => {
             counters.add(Count::OnceFull);
             let problem = Problem::not_run(
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -244,7 +244,7 @@
             );
             without_proof(&job.headers, problem).into_response()
         }
-        Begin::NeverIssued => {
+        BeginOutcome::NeverIssued => {
             counters.add(Count::BadRequest);
             let problem = Problem::not_run(
                 StatusCode::BAD_REQUEST,
@@ -253,7 +253,7 @@
             );
             without_proof(&job.headers, problem).into_response()
         }
-        Begin::Unknown | Begin::Forgotten => {
+        BeginOutcome::Unknown | BeginOutcome::Forgotten => {
             counters.add(Count::OnceUnknown);
             Problem::unknown(
                 StatusCode::BAD_GATEWAY,
@@ -262,7 +262,7 @@
             )
             .into_response()
         }
-        Begin::Dispatch(_) => {
+        BeginOutcome::Dispatch(_) => {
             require_promise(Promise::AtMostOnce, false, || {
                 "a dispatch was taken for an answer".to_owned()
             });
@@ -286,10 +286,10 @@
 
 /// Digest of what makes the request what it is. The caller's credentials belong to it, so that one
 /// caller's key never gets another caller's answer.
-fn fingerprint(job: &Job, body: &Bytes) -> Fingerprint {
+fn fingerprint(job: &Job, body: &Bytes) -> OnceFingerprint {
     let path = job.uri.path_and_query().map_or("/", |path| path.as_str());
     let credentials = job.headers.get(http::header::AUTHORIZATION);
-    Fingerprint(Digest::of_parts(&[
+    OnceFingerprint(Digest::of_parts(&[
         job.method.as_str().as_bytes(),
         path.as_bytes(),
         credentials.map_or(&[][..], HeaderValue::as_bytes),
--- a/crates/pinhaven-entry/src/peers/peer_rows.rs
+++ b/crates/pinhaven-entry/src/peers/peer_rows.rs
@@ -6,7 +6,7 @@
 use crate::versions::discovered::DELEGATE_LOOK_MS;
 use crate::versions::store_pace::FIRST_RANK;
 use crate::versions::store_pace::pause_before_retry;
-use pinhaven_agree::RetryPause;
+use pinhaven_agree::RetryBackoff;
 use pinhaven_platform::Discovery;
 use pinhaven_platform::PlatformError;
 use pinhaven_runtime::sleep_ms;
@@ -32,7 +32,7 @@
         while !self.speaks_with_store(true) {
             sleep_ms(DELEGATE_LOOK_MS).await;
         }
-        let mut pause = RetryPause::default();
+        let mut pause = RetryBackoff::default();
         while let Err(error) = self.announce(&store).await {
             log::warn!(target: "members", "The own row is not written: {error}.");
             pause_before_retry(&mut pause, FIRST_RANK).await;
--- a/crates/pinhaven-entry/src/targets/listed_targets.rs
+++ b/crates/pinhaven-entry/src/targets/listed_targets.rs
@@ -10,7 +10,7 @@
 use pinhaven_agree::ListSteps;
 use pinhaven_agree::MemberState;
 use pinhaven_agree::PeerList;
-use pinhaven_agree::RetryPause;
+use pinhaven_agree::RetryBackoff;
 use pinhaven_agree::TargetList;
 use pinhaven_decide::TargetState;
 use pinhaven_runtime::AnyBody;
@@ -42,7 +42,7 @@
 impl Entry {
     /// Reads the list of targets whenever it is this entry's turn, for ever.
     pub(crate) async fn keep_target_list(self: Arc<Self>) {
-        let mut pause = RetryPause::default();
+        let mut pause = RetryBackoff::default();
         loop {
             self.expire_targets();
             let rank = self.reader_rank();
@@ -55,7 +55,7 @@
             } else if !is_known && !self.speaks_with_store(false) {
                 sleep_ms(LIST_PAUSE_MS.0).await;
             } else if self.read_targets().await {
-                pause = RetryPause::default();
+                pause = RetryBackoff::default();
             } else {
                 let place = self.members.lock().rank_among_all(self.now());
                 pause_before_retry(&mut pause, place as u32).await;
--- a/crates/pinhaven-entry/src/targets/seats.rs
+++ b/crates/pinhaven-entry/src/targets/seats.rs
@@ -54,7 +54,7 @@
             }
         }
         let now = self.now();
-        let action = self.seats.lock().take_rows(&seats, now);
+        let action = self.seats.lock().record_rows(&seats, now);
         if let Some(SeatAction::Write { seat, row, .. }) = action {
             self.write_seat(seat, &row, versions.remove(&seat)).await;
         }
@@ -68,7 +68,7 @@
         let written = self.table.write(&key, condition, value).await;
         // A write that nobody can tell the outcome of counts as none: the next listing shows it.
         let took_effect = self.count_platform(written).is_ok();
-        self.seats.lock().take_written(seat, took_effect, asked_at);
+        self.seats.lock().record_write(seat, took_effect, asked_at);
     }
 
     /// The seat that a row's key names.
@@ -84,7 +84,7 @@
         serde_json::from_str(&row.value).unwrap_or_else(|error| {
             let fault = RowFault::form(error);
             self.table.leave_out(SEAT_PREFIX, &row.key, &fault);
-            SeatRow::of_nobody(row.version.as_str())
+            SeatRow::without_holder(row.version.as_str())
         })
     }
 }
--- a/crates/pinhaven-entry/src/versions/discovered.rs
+++ b/crates/pinhaven-entry/src/versions/discovered.rs
@@ -6,7 +6,7 @@
 use crate::entry::Entry;
 use crate::versions::store_pace::FIRST_RANK;
 use crate::versions::store_pace::pause_before_retry;
-use pinhaven_agree::RetryPause;
+use pinhaven_agree::RetryBackoff;
 use pinhaven_agree::pause_after_answer;
 use pinhaven_bundle::CanonicalBundle;
 use pinhaven_platform::ConfigurationNews;
@@ -52,7 +52,7 @@
             return;
         };
         let mut position = None;
-        let mut pause = RetryPause::default();
+        let mut pause = RetryBackoff::default();
         loop {
             let is_in_force = self.version.lock().version() > BundleVersion::NONE;
             if !self.speaks_with_store(is_in_force) {
@@ -73,7 +73,7 @@
             };
             match self.count_platform(news) {
                 Ok(news) => {
-                    pause = RetryPause::default();
+                    pause = RetryBackoff::default();
                     position = Some(news.position);
                     let is_there = news.bundle.is_some();
                     let times = news.times;
@@ -116,7 +116,7 @@
         let Some(bundle) = news.bundle else {
             return;
         };
-        self.store_lag.lock().take(bundle.version);
+        self.store_lag.lock().record_store_version(bundle.version);
         self.version_lag.lock().hear(bundle.version, self.now());
         if bundle.version <= self.version.lock().version() {
             return;
@@ -157,7 +157,7 @@
             if version > entry.version.lock().version() {
                 entry.fetch_from(peer).await;
             }
-            if follows && entry.store_lag.lock().begin_expecting(version) {
+            if follows && entry.store_lag.lock().expect_version(version) {
                 entry.watch_store_for(version).await;
             }
         })
--- a/crates/pinhaven-entry/src/versions/fetch.rs
+++ b/crates/pinhaven-entry/src/versions/fetch.rs
@@ -5,11 +5,11 @@
 
 use crate::entry::Entry;
 use crate::watch::counters::Count;
-use pinhaven_agree::AWAY_MOST;
 use pinhaven_agree::Fetched;
 use pinhaven_agree::PART_TIMEOUT;
 use pinhaven_agree::Part;
 use pinhaven_agree::PartRequest;
+use pinhaven_agree::RETRY_DELAY_MAX;
 use pinhaven_bundle::BundleHead;
 use pinhaven_bundle::BundlePackage;
 use pinhaven_bundle::CanonicalBundle;
@@ -286,7 +286,7 @@
 
 fn reply_of(response: FetchBundleResponse) -> Reply {
     if response.busy_ms > 0 {
-        let away = Microseconds::from_ms(u64::from(response.busy_ms)).min(AWAY_MOST);
+        let away = Microseconds::from_ms(u64::from(response.busy_ms)).min(RETRY_DELAY_MAX);
         return Reply::Busy(Duration::from_micros(away.count()));
     }
     let unpacked = |content: PackageContent| match serde_json::from_slice(&response.head) {
--- a/crates/pinhaven-entry/src/versions/store_pace.rs
+++ b/crates/pinhaven-entry/src/versions/store_pace.rs
@@ -1,6 +1,6 @@
 //! How often an entry asks the store, and from when on.
 
-use pinhaven_agree::RetryPause;
+use pinhaven_agree::RetryBackoff;
 use pinhaven_runtime::sleep_ms;
 use pinhaven_types::Microseconds;
 
@@ -14,8 +14,8 @@
 pub(crate) const FIRST_RANK: u32 = 0;
 
 /// Waits before the next call of the entry that is `rank`th among those that ask.
-pub(crate) async fn pause_before_retry(pause: &mut RetryPause, rank: u32) {
-    let pause = pause.next(rank, fastrand::f64());
+pub(crate) async fn pause_before_retry(pause: &mut RetryBackoff, rank: u32) {
+    let pause = pause.next_delay(rank, fastrand::f64());
     sleep_ms(pause.count() / 1_000).await;
 }
 
--- a/crates/pinhaven-lab/src/versions/instance.rs
+++ b/crates/pinhaven-lab/src/versions/instance.rs
@@ -5,12 +5,12 @@
 use crate::versions::history::MadePackage;
 use crate::versions::message::CallNumber;
 use crate::versions::plan::VersionsPlan;
-use pinhaven_agree::GivingBudget;
 use pinhaven_agree::MemberRow;
 use pinhaven_agree::MemberState;
 use pinhaven_agree::Membership;
 use pinhaven_agree::PartRequest;
-use pinhaven_agree::RetryPause;
+use pinhaven_agree::RetryBackoff;
+use pinhaven_agree::TransferBudget;
 use pinhaven_agree::VersionFetch;
 use pinhaven_agree::VersionLag;
 use pinhaven_types::BundleVersion;
@@ -67,7 +67,7 @@
     pub(super) fetch: VersionFetch,
     pub(super) asking: Option<Asking>,
     pub(super) calls: CallNumber,
-    pub(super) giving: GivingBudget,
+    pub(super) giving: TransferBudget,
     deltas: VecDeque<KeptDelta>,
     packages: VecDeque<Rc<MadePackage>>,
     pub(super) link: Link,
@@ -75,7 +75,7 @@
     pub(super) is_alive: bool,
     pub(super) is_delegate: bool,
     pub(super) store_seen: BundleVersion,
-    pub(super) store_pause: RetryPause,
+    pub(super) store_pause: RetryBackoff,
     pub(super) waits_for_store: bool,
     pub(super) store_asked_us: u64,
     /// Whether the change was there already when the store was last asked.
@@ -110,7 +110,7 @@
             fetch: VersionFetch::default(),
             asking: None,
             calls: 0,
-            giving: GivingBudget::new(plan.link_mbps),
+            giving: TransferBudget::new(plan.link_mbps),
             deltas: VecDeque::new(),
             packages: VecDeque::new(),
             link: Link::new(plan.link_mbps),
@@ -118,7 +118,7 @@
             is_alive: true,
             is_delegate: false,
             store_seen: held,
-            store_pause: RetryPause::default(),
+            store_pause: RetryBackoff::default(),
             waits_for_store: false,
             store_asked_us: 0,
             store_was_ahead: false,
--- a/crates/pinhaven-lab/src/versions/store.rs
+++ b/crates/pinhaven-lab/src/versions/store.rs
@@ -83,7 +83,7 @@
 
     fn ask_store_later(&mut self, entry: usize) {
         let draw = self.random.f64();
-        let pause = self.instances[entry].store_pause.next(0, draw);
+        let pause = self.instances[entry].store_pause.next_delay(0, draw);
         self.queue
             .plan(self.now_us + pause.count(), Event::AskStore(entry));
     }
