--- a/crates/pinhaven-agree/src/ledger.rs
+++ b/crates/pinhaven-agree/src/ledger.rs
@@ -1,12 +1,16 @@
-//! Requests that may not be repeated, dispatched at most once.
+//! Ledger of once-only requests, which are dispatched at most once.
 //!
-//! A once-only request has one home: an incarnation of an entry. Only the home may dispatch it, and it
-//! remembers every key that it has dispatched, so no lease, clock or store is needed on the path. When
-//! the home is gone nobody can tell what became of its requests, and nobody dispatches them again.
+//! Input are requests with a caller's key and the outcomes of their dispatches. Output is the decision
+//! whether to dispatch a request, to replay its stored answer or to refuse it.
 //!
-//! Memory is bounded by epochs that the home counts by itself. A caller names the epoch that it was
-//! given, and keeps naming it when it repeats the request. Requests of an epoch are either all
-//! remembered or all answered with "unknown", so that forgetting can never lead to a second run.
+//! A once-only request has one home, an incarnation of an entry. Only the home may dispatch the request,
+//! and the home records every key that it has dispatched, so the request path needs no lease, clock or
+//! store. After the home has ended, the outcome of its requests is unknown and no other entry dispatches
+//! them again.
+//!
+//! Epochs bound the memory; each home counts its own. A caller sends the epoch that it was given, also
+//! when it repeats the request. The requests of an epoch are either all recorded or all answered
+//! "unknown", so discarding records never leads to a second execution.
 
 use displaydoc::Display as DisplayDoc;
 use pinhaven_types::Digest;
@@ -19,7 +23,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Epochs whose requests are remembered, the current one included.
+/// Number of epochs whose requests are recorded, including the current epoch.
 const EPOCHS_RETAINED: u64 = 3;
 
 /// Number of an epoch of one incarnation, counted from 1.
@@ -32,16 +36,16 @@
     }
 }
 
-/// Where a once-only request may be dispatched: an incarnation and its epoch.
+/// The only place where a once-only request may be dispatched: an incarnation and one of its epochs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Home {
-    /// The incarnation that alone may dispatch.
+    /// Incarnation that alone may dispatch the request.
     pub incarnation: Incarnation,
-    /// Its epoch when the caller was told.
+    /// Epoch of the incarnation when the home was given to the caller.
     pub epoch: Epoch,
 }
 
-/// Why a text does not name a home.
+/// Error in the text form of a home.
 #[derive(Debug, Clone, PartialEq, Eq, DisplayDoc)]
 pub enum ParseHomeError {
     /// a home is an incarnation and an epoch with a '.' between them
@@ -72,41 +76,41 @@
     }
 }
 
-/// A caller's key, within a service and an epoch.
+/// A caller's idempotency key within a service and an epoch.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OnceKey {
-    /// The epoch that the caller names.
+    /// Epoch sent by the caller.
     pub epoch: Epoch,
-    /// The service.
+    /// Service of the request.
     pub service: ServiceName,
     /// Digest of the caller's key.
     pub key: Digest,
 }
 
-/// Number that the caller gives to its sending of a request, counted from 1.
+/// Number by which a caller counts its sendings of a request, from 1.
 ///
-/// Messages can be late. A request that was said not to have run must stay so, also when an earlier
-/// sending of it arrives after that; only a later sending begins it again.
+/// Messages can be delayed. After a request was answered as not run, an earlier sending that arrives late
+/// must not execute it; only a sending with a higher number may start the request again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Sending(pub u32);
 
 impl Sending {
-    /// The first sending, which an unnumbered one is taken for.
+    /// First sending; also stands for a request without a number.
     pub const FIRST: Self = Self(1);
 }
 
-/// Digest of all that makes a request what it is; a repeated one must have the same.
+/// Digest of all parts that identify a request; a repeated request must have an equal digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OnceFingerprint(pub Digest);
 
-/// An answer that is kept for repeated requests.
+/// Answer retained for repeated requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredAnswer {
-    /// Its status.
+    /// HTTP status code.
     pub status: u16,
-    /// Its header fields.
+    /// Header fields, as names and values.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// Its body.
+    /// Body bytes.
     pub body: Vec<u8>,
 }
 
@@ -117,69 +121,70 @@
     }
 }
 
-/// How much a ledger may hold.
+/// Limits on the memory of a ledger.
 #[derive(Debug, Clone, Copy)]
 pub struct LedgerLimits {
-    /// Records at a time.
+    /// Maximum number of records.
     pub records_max: usize,
-    /// The largest answer kept, in bytes.
+    /// Maximum size of one retained answer, in bytes.
     pub answer_bytes_max: usize,
-    /// All answers kept together, in bytes.
+    /// Maximum total size of all retained answers, in bytes.
     pub all_answer_bytes_max: usize,
 }
 
-/// The right and the duty to dispatch a request and say what became of it.
+/// Right to dispatch a request, with the obligation to report its outcome by settling the claim.
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "a claim that is not settled leaves its request unknown for ever"]
+#[must_use = "a claim that is not settled leaves its request in flight until its epoch is discarded"]
 pub struct Claim {
     key: OnceKey,
     sending: Sending,
 }
 
-/// What to do with a once-only request.
+/// Decision on a once-only request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum BeginOutcome {
-    /// Dispatch it, and settle the claim.
+    /// Dispatch the request, then settle the claim.
     Dispatch(Claim),
-    /// This sending, or a later one, was said not to have run; it did not and will not.
+    /// This sending or a later one was already answered as not run; this sending did not run and never will.
     RefusedBefore,
-    /// It is being worked on.
+    /// The request is in flight.
     InFlight,
-    /// It was answered; this is the answer.
+    /// The request was answered with this answer.
     Answered(StoredAnswer),
-    /// It was answered, and the answer is no longer held.
+    /// The request was answered, but the answer was not retained.
     AnsweredBefore,
-    /// It broke after it was sent; nobody can tell whether it ran.
+    /// The request failed after it was sent; whether it ran is unknown.
     Unknown,
-    /// Its epoch is forgotten; nobody can tell whether it ran.
+    /// The records of the request's epoch were discarded; whether it ran is unknown.
     Forgotten,
-    /// Its key was used for another request; this one did not run.
+    /// The key was used for a different request; this request did not run.
     OtherRequest,
-    /// There is no room for another record; it did not run.
+    /// The ledger has no room for another record; the request did not run.
     Full,
-    /// Its epoch has not begun; it did not run.
+    /// The epoch was never issued to a caller; the request did not run.
     NeverIssued,
 }
 
+/// State of a recorded request.
 #[derive(Debug, PartialEq, Eq)]
 enum RecordState {
-    /// It may be at a target now.
+    /// The request may be at a target.
     InFlight,
-    /// It is proved not to have run, and sendings up to this one never will.
+    /// The request is known not to have run; sendings up to this number never will.
     NotRun(Sending),
-    /// It ran, and this was the answer, if it is held.
+    /// The request ran; contains the answer if it was retained.
     Answered(Option<StoredAnswer>),
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 #[derive(Debug)]
 struct Record {
     fingerprint: OnceFingerprint,
-    fate: RecordState,
+    state: RecordState,
 }
 
-/// The once-only requests of one incarnation.
+/// Records of the once-only requests of one incarnation.
 #[derive(Debug)]
 pub struct Ledger {
     limits: LedgerLimits,
@@ -190,7 +195,7 @@
 }
 
 impl Ledger {
-    /// An empty ledger in its first epoch.
+    /// Creates an empty ledger in its first epoch.
     pub fn new(limits: LedgerLimits) -> Self {
         Self {
             limits,
@@ -201,36 +206,36 @@
         }
     }
 
-    /// The current epoch, which callers are told.
+    /// Current epoch, which is given to callers.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// How many records are held.
+    /// Number of records.
     pub fn record_count(&self) -> usize {
         self.record_count
     }
 
-    /// Bytes of the answers that are held.
+    /// Total size of the retained answers, in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
 
-    /// Begins the next epoch and forgets the oldest one.
+    /// Begins the next epoch and discards the records of the oldest one.
     pub fn advance_epoch(&mut self) {
         self.epoch.0 += 1;
         let oldest = self.oldest_epoch();
-        let kept = self.records.split_off(&oldest);
-        let forgotten = std::mem::replace(&mut self.records, kept);
-        for record in forgotten.into_values().flat_map(HashMap::into_values) {
+        let retained = self.records.split_off(&oldest);
+        let discarded = std::mem::replace(&mut self.records, retained);
+        for record in discarded.into_values().flat_map(HashMap::into_values) {
             self.record_count -= 1;
-            if let RecordState::Answered(Some(answer)) = record.fate {
+            if let RecordState::Answered(Some(answer)) = record.state {
                 self.answer_bytes -= answer.bytes();
             }
         }
     }
 
-    /// Takes a request in and says what to do with it.
+    /// Records a request unless its key is already known, and decides how to handle the request.
     pub fn begin(
         &mut self,
         key: OnceKey,
@@ -249,62 +254,62 @@
             if is_full {
                 return BeginOutcome::Full;
             }
-            let fate = RecordState::InFlight;
-            records.insert(key.clone(), Record { fingerprint, fate });
+            let state = RecordState::InFlight;
+            records.insert(key.clone(), Record { fingerprint, state });
             self.record_count += 1;
             return BeginOutcome::Dispatch(Claim { key, sending });
         };
         if record.fingerprint != fingerprint {
             return BeginOutcome::OtherRequest;
         }
-        match &record.fate {
+        match &record.state {
             RecordState::InFlight => BeginOutcome::InFlight,
             RecordState::Answered(Some(answer)) => BeginOutcome::Answered(answer.clone()),
             RecordState::Answered(None) => BeginOutcome::AnsweredBefore,
             RecordState::Unknown => BeginOutcome::Unknown,
             RecordState::NotRun(refused) if sending <= *refused => BeginOutcome::RefusedBefore,
             RecordState::NotRun(_) => {
-                record.fate = RecordState::InFlight;
+                record.state = RecordState::InFlight;
                 BeginOutcome::Dispatch(Claim { key, sending })
             }
         }
     }
 
-    /// Settles a claim: the request ran and was answered.
+    /// Settles a claim whose request ran and was answered.
     pub fn settle_answered(&mut self, claim: Claim, answer: StoredAnswer) {
         let bytes = answer.bytes();
         let fits = bytes <= self.limits.answer_bytes_max
             && self.answer_bytes + bytes <= self.limits.all_answer_bytes_max;
-        let is_held = self.settle(claim, RecordState::Answered(fits.then_some(answer)));
-        if is_held && fits {
+        let is_recorded = self.settle(claim, RecordState::Answered(fits.then_some(answer)));
+        if is_recorded && fits {
             self.answer_bytes += bytes;
         }
     }
 
-    /// Settles a claim: the request is proved not to have run. A later sending may begin it again.
+    /// Settles a claim whose request is known not to have run. A later sending may start the request again.
     pub fn settle_not_run(&mut self, claim: Claim) {
         let refused = claim.sending;
         self.settle(claim, RecordState::NotRun(refused));
     }
 
-    /// Settles a claim: nobody can tell whether the request ran.
+    /// Settles a claim whose request may or may not have run.
     pub fn settle_unknown(&mut self, claim: Claim) {
         self.settle(claim, RecordState::Unknown);
     }
 
-    /// Returns whether the record is still held.
-    fn settle(&mut self, claim: Claim, fate: RecordState) -> bool {
+    /// Sets the final state of a claim's record. Returns whether the record still exists.
+    fn settle(&mut self, claim: Claim, state: RecordState) -> bool {
         let records = self.records.get_mut(&claim.key.epoch);
         let Some(record) = records.and_then(|records| records.get_mut(&claim.key)) else {
-            // Its epoch was forgotten while it was in flight; a repeat is answered "unknown".
+            // The epoch was discarded while the request was in flight; a repeated request is answered "unknown".
             return false;
         };
         require_promise(
             Promise::AtMostOnce,
-            record.fate == RecordState::InFlight,
+            record.state == RecordState::InFlight,
             || format!("a claim on {} was settled twice", claim.key.key),
         );
-        record.fate = fate;
+        record.state = state;
         true
     }
 
--- a/crates/pinhaven-agree/src/lib.rs
+++ b/crates/pinhaven-agree/src/lib.rs
@@ -1,9 +1,16 @@
-//! What entries agree on, free of I/O: versions in force, once-only requests, membership and seats.
+//! State that entries agree on: versions in force, target lists, once-only requests, membership and seats.
 //!
-//! Nothing here rests on a lease that was looked at before a pause. A version in force only grows; a
-//! once-only request has one home that alone may dispatch it; a member's word that it stops is final;
-//! a seat's holder asks its own clock before each use, and what a pause between asking and using can
-//! cost is paid for beforehand.
+//! The crate does no I/O. Callers pass in received messages, rows of the store and the current time; the
+//! types of this crate return decisions such as a request to send or a row to write.
+//!
+//! A process can be paused between a check of its lease and the action that relies on the check. Agreement
+//! therefore never depends on such a check alone:
+//!
+//! - The version in force of an entry never decreases.
+//! - A once-only request has one home, and only the home may dispatch the request.
+//! - A member that has announced its stop never becomes ready again in the same incarnation.
+//! - The holder of a seat checks its lease by its own clock before each probe. A pause after the check
+//!   allows at most one probe too many, and the measuring budget reserves that probe in advance.
 
 mod demand;
 mod latest_runs;
--- a/crates/pinhaven-agree/src/membership.rs
+++ b/crates/pinhaven-agree/src/membership.rs
@@ -1,8 +1,12 @@
-//! Who is an entry, and which entries callers are told to use.
+//! Membership of the entries: which entries exist, which of them are live, and which serve a service.
 //!
-//! A member counts its own heartbeats; others only pass the counts on, so a late message never makes a
-//! member look more alive than it was. Each entry judges by its own clock how long a count has stood
-//! still. A member's word that it stops is final for its incarnation.
+//! Input are the rows that entries publish about themselves, received directly, through a third entry or
+//! from the store. Output are the live members, the rows to pass on and the entries named to callers.
+//!
+//! Only a member itself increments its heartbeat counter; other entries forward the counter unchanged. A
+//! delayed message therefore never extends the time for which a member counts as live. Each entry
+//! measures by its own clock for how long a counter has not increased, so clocks need not agree. The
+//! state of a member never moves back within one incarnation, so an announced stop is final.
 
 use pinhaven_types::BundleVersion;
 use pinhaven_types::Digest;
@@ -20,134 +24,139 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Weight of the gaps between heartbeats that were heard before, against one of the new.
+/// Divisor of the moving average of heartbeat gaps: a new gap counts 1 in `GAP_WEIGHT`.
 const GAP_WEIGHT: u64 = 4;
-/// Usual gaps after which a member counts as silent.
+/// Number of mean heartbeat gaps after which a member counts as silent.
 const MISSED_GAPS_MAX: u64 = 4;
-/// The most time for which any member may be silent, in times the least.
+/// Maximum time for which any member may be silent, as a multiple of the minimum time.
 const SILENCE_FACTOR_MAX: u64 = 5;
 
-/// Life cycle of an entry, as it tells others.
+/// Life cycle of an entry, as published to its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It does not know the version in force yet.
+    /// The entry does not know the version in force yet.
     Starting,
-    /// It serves.
+    /// The entry serves callers.
     Ready,
-    /// It finishes what it has; callers must not be sent to it.
+    /// The entry finishes its requests in flight; callers must not be sent to it.
     Stopping,
-    /// It is no more.
+    /// The process has ended.
     Gone,
 }
 
-/// What an entry says of itself.
+/// Description that an entry publishes of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// This run of it.
+    /// Incarnation of the entry, one process lifetime.
     pub incarnation: Incarnation,
-    /// Its name in the settings.
+    /// Instance id from the entry's settings.
     pub instance_id: InstanceId,
-    /// Where it stands.
+    /// Failure domain in which the entry runs.
     pub failure_domain: FailureDomain,
-    /// The region that its failure domain belongs to, where there are several.
+    /// Region of the failure domain, in deployments with several regions.
     #[serde(default)]
     pub region: Option<Region>,
-    /// Requests that its instance can carry.
+    /// Request rate that the entry's instance can carry.
     #[serde(default)]
     pub capacity: RequestRate,
-    /// Requests that it sends to targets for callers, the most of the last seconds.
+    /// Recent peak rate of requests sent to targets for callers.
     #[serde(default)]
     pub demand: RequestRate,
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub caller_address: SocketAddr,
-    /// Where other entries connect.
+    /// Address at which other entries connect.
     pub peer_address: SocketAddr,
-    /// How far it is in its life.
+    /// Current state in the life cycle.
     #[serde(deserialize_with = "state_from_name")]
     pub state: MemberState,
-    /// Heartbeats so far.
+    /// Heartbeat counter, incremented by the entry alone.
     pub heartbeat: u64,
-    /// Bundle version in force there.
+    /// Bundle version in force at the entry.
     pub version: BundleVersion,
-    /// Its current epoch of once-only requests.
+    /// Current epoch of once-only requests.
     pub epoch: u64,
 }
 
-/// A state from its name. By itself a state is also read from an object with the name as its field, which
-/// only another writer would send.
+/// Deserializes a state from its name only.
+///
+/// The derived implementation also accepts an object with the name as its only key. No entry writes that
+/// form, so a row that contains one comes from another writer and is rejected.
 fn state_from_name<'de, D: Deserializer<'de>>(deserializer: D) -> Result<MemberState, D::Error> {
     let name = String::deserialize(deserializer)?;
     MemberState::deserialize(IntoDeserializer::<D::Error>::into_deserializer(name))
 }
 
-/// An entry as this one sees it.
+/// A peer's last row and when the peer was last known to be live.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// What it last said.
+    /// Latest row of the member.
     pub row: MemberRow,
-    /// When its heartbeat count last grew, by this entry's clock.
+    /// Time at which the heartbeat counter last increased, by this entry's clock.
     pub heartbeat_at: Microseconds,
-    /// Time between two such moments, on average.
+    /// Moving average of the time between two increases of the heartbeat counter.
     mean_gap: Microseconds,
-    /// Whether it was heard itself or its count was seen to grow; a row alone may be long out of date.
+    /// Whether the member sent a row itself or its heartbeat counter was seen to increase. A relayed row
+    /// alone may be long out of date.
     is_confirmed: bool,
-    /// Its place in the order that all entries agree on.
+    /// Rank in the order on which all entries agree, lowest first.
     rank: u64,
 }
 
-/// All entries that this one knows of.
+/// All entries known to this entry, including itself.
 #[derive(Debug)]
 pub struct Membership {
     own: MemberRow,
     own_rank: u64,
     members: BTreeMap<Incarnation, Member>,
     silent_after: Microseconds,
-    forget_after: Microseconds,
+    remove_after: Microseconds,
 }
 
 impl Membership {
-    /// A membership that knows only this entry. A member whose heartbeats stand still for
-    /// `silent_after` is not told to callers; after ten times that it is forgotten.
+    /// Creates a membership that contains only this entry.
+    ///
+    /// `silent_after` is the minimum time without an increased heartbeat counter after which a member no
+    /// longer counts as live. After ten times `silent_after` the member can be removed.
     pub fn new(own: MemberRow, silent_after: Microseconds) -> Self {
         Self {
             own_rank: rank_of(&own),
             own,
             members: BTreeMap::new(),
             silent_after,
-            forget_after: Microseconds::new(silent_after.count() * 10),
+            remove_after: Microseconds::new(silent_after.count() * 10),
         }
     }
 
-    /// What this entry says of itself.
+    /// This entry's own row.
     pub fn own(&self) -> &MemberRow {
         &self.own
     }
 
-    /// The other entries.
+    /// Known members other than this entry, live or not.
     pub fn peers(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Beats the heart once, with what is in force now.
+    /// Increments the heartbeat counter and sets the version and epoch now in force.
     pub fn advance_heartbeat(&mut self, version: BundleVersion, epoch: u64) {
         self.own.heartbeat += 1;
         self.own.version = version;
         self.own.epoch = epoch;
     }
 
-    /// Takes in how many requests this entry carries for callers.
+    /// Sets the rate of requests that this entry sends to targets for callers.
     pub fn set_demand(&mut self, demand: RequestRate) {
         self.own.demand = demand;
     }
 
-    /// Moves this entry on in its life; it never moves back.
+    /// Advances this entry's state and increments the heartbeat counter. The state never moves back.
     pub fn advance_state(&mut self, state: MemberState) {
         self.own.state = self.own.state.max(state);
         self.own.heartbeat += 1;
     }
 
-    /// Takes in what another entry said of itself.
+    /// Records a row that a member sent itself, which confirms the member.
     pub fn record_member(&mut self, row: MemberRow, now: Microseconds) {
         let incarnation = row.incarnation;
         self.record_relayed_member(row, now);
@@ -156,7 +165,7 @@
         }
     }
 
-    /// Takes in what the platform or a third entry said of another one. Returns whether it was news.
+    /// Records a member's row received from the store or a third entry. Returns whether the row is new.
     pub fn record_relayed_member(&mut self, row: MemberRow, now: Microseconds) -> bool {
         if row.incarnation == self.own.incarnation {
             return false;
@@ -186,54 +195,56 @@
         true
     }
 
-    /// Takes in that an address does not answer as this incarnation any more.
+    /// Marks a member as gone after its address stopped answering as this incarnation.
     pub fn mark_gone(&mut self, incarnation: Incarnation) {
         if let Some(member) = self.members.get_mut(&incarnation) {
             member.row.state = MemberState::Gone;
         }
     }
 
-    /// Forgets members that have been silent for long.
+    /// Removes members whose heartbeat counter has not increased for ten times `silent_after`.
     pub fn remove_silent(&mut self, now: Microseconds) {
-        let forget_after = self.forget_after;
+        let remove_after = self.remove_after;
         self.members
-            .retain(|_, member| now.saturating_sub(member.heartbeat_at) < forget_after);
+            .retain(|_, member| now.saturating_sub(member.heartbeat_at) < remove_after);
     }
 
-    /// Whether a member's heart beats, as far as can be told.
+    /// Whether a member is confirmed, not gone, and its heartbeat counter has increased recently.
     pub fn is_live(&self, member: &Member, now: Microseconds) -> bool {
         member.is_confirmed
             && member.row.state != MemberState::Gone
             && now.saturating_sub(member.heartbeat_at) < self.silent_after_of(member)
     }
 
-    /// How long a member may be silent. One that is heard of through others, now and then, is not gone
-    /// because it was not heard of for as long as one that speaks to this entry itself may be silent.
+    /// Time without an increased heartbeat counter after which a member no longer counts as live.
+    ///
+    /// Rows of a member that sends nothing to this entry arrive through third entries at longer intervals,
+    /// so the limit grows with the member's mean gap.
     fn silent_after_of(&self, member: &Member) -> Microseconds {
-        let least = self.silent_after.count();
-        let usual = member.mean_gap.count() * MISSED_GAPS_MAX;
-        Microseconds::new(usual.clamp(least, least * SILENCE_FACTOR_MAX))
+        let silence_min = self.silent_after.count();
+        let tolerated = member.mean_gap.count() * MISSED_GAPS_MAX;
+        Microseconds::new(tolerated.clamp(silence_min, silence_min * SILENCE_FACTOR_MAX))
     }
 
-    /// This entry and all live members, with the ranks that all entries agree on.
+    /// This entry and all live members, with the ranks on which all entries agree.
     pub(crate) fn live_ranked(&self, now: Microseconds) -> impl Iterator<Item = (u64, &MemberRow)> {
         let live = self.members.values().filter(move |m| self.is_live(m, now));
-        let others = live.map(|member| (member.rank, &member.row));
-        std::iter::once((self.own_rank, &self.own)).chain(others)
+        let peers = live.map(|member| (member.rank, &member.row));
+        std::iter::once((self.own_rank, &self.own)).chain(peers)
     }
 
-    /// All rows to pass on: this entry's own and those of members that are not long silent.
+    /// Rows to pass on to peers: this entry's own and those of all members that have not been removed.
     pub fn rows(&self) -> Vec<MemberRow> {
-        let others = self.members.values().map(|member| member.row.clone());
-        std::iter::once(self.own.clone()).chain(others).collect()
+        let peers = self.members.values().map(|member| member.row.clone());
+        std::iter::once(self.own.clone()).chain(peers).collect()
     }
 
-    /// The member with this incarnation, if it is known.
+    /// The known member with this incarnation.
     pub fn member(&self, incarnation: Incarnation) -> Option<&Member> {
         self.members.get(&incarnation)
     }
 
-    /// Members to talk to: those not known to be gone, heard of in any way not long ago.
+    /// Members that are worth contacting: all known members that are not marked as gone.
     pub fn contactable_peers(&self) -> Vec<&MemberRow> {
         self.members
             .values()
@@ -242,19 +253,19 @@
             .collect()
     }
 
-    /// Whether this entry is one of the `readers` of its failure domain who look at the platform's
-    /// head of the bundle history often; the others hear of new versions from them.
+    /// Whether this entry is one of the `readers` entries of its failure domain that poll the head of the
+    /// bundle history often. The other entries receive new versions from these readers.
     pub fn is_head_reader(&self, readers: usize, now: Microseconds) -> bool {
-        let before = self
+        let preceding = self
             .live_peers(now)
             .into_iter()
             .filter(|row| row.failure_domain == self.own.failure_domain)
             .filter(|row| row.instance_id < self.own.instance_id)
             .count();
-        before < readers
+        preceding < readers
     }
 
-    /// Live members.
+    /// Rows of the live members other than this entry.
     pub fn live_peers(&self, now: Microseconds) -> Vec<&MemberRow> {
         self.members
             .values()
@@ -263,10 +274,11 @@
             .collect()
     }
 
-    /// The entries that callers in `domain` are told to use for a service, nearest first.
+    /// Entries to name to callers in `domain` for a service: up to `named`, those of `domain` first.
     ///
-    /// Every entry ranks the same members the same way, so the callers of a service meet at few
-    /// entries and those see most of its load; another service ranks them another way.
+    /// Each service has its own ranking, and every entry computes the same ranking from the same members.
+    /// The callers of a service are therefore concentrated on a few entries, which see most of its load,
+    /// while different services spread over all entries.
     pub fn entries_for(
         &self,
         service: &ServiceName,
@@ -286,7 +298,7 @@
         ranked.into_iter().map(|(_, row)| row).collect()
     }
 
-    /// The lowest and highest version in force in each failure domain, over live members.
+    /// Lowest and highest version in force in each failure domain, over this entry and live peers that are ready.
     pub fn versions_by_domain(
         &self,
         now: Microseconds,
@@ -308,12 +320,12 @@
     }
 }
 
-/// Rank of an entry among all, the lower the sooner it serves.
+/// Rank of an entry among all entries; lower ranks serve first.
 fn rank_of(row: &MemberRow) -> u64 {
     Digest::of(row.instance_id.as_str().as_bytes()).short()
 }
 
-/// Rank of an entry for a service, the lower the sooner.
+/// Rank of an entry for a service; lower ranks are named first.
 fn rank(service: &ServiceName, row: &MemberRow) -> Digest {
     Digest::of_parts(&[
         service.as_str().as_bytes(),
--- a/crates/pinhaven-agree/src/retry_backoff.rs
+++ b/crates/pinhaven-agree/src/retry_backoff.rs
@@ -1,22 +1,23 @@
-//! How long an entry waits before it asks the store again after a failure.
+//! Backoff of an entry's calls to the store after failures.
 //!
-//! In an outage all entries fail. The few that come first among them try on at a pace at which the
-//! store's return is noticed within a second, and tell the others; those try seldom, so that the store
-//! is not met by all at once.
+//! During an outage of the store the calls of all entries fail. The first entries in rank retry often
+//! enough to notice within a second that the store is available again, and advertise what they learn to
+//! the other entries. Entries of higher rank retry rarely, so that the store is not overloaded by all
+//! entries at once when it returns.
 
 use pinhaven_types::Microseconds;
 
-/// Pause after a first failure.
+/// Mean delay after a first failure.
 const INITIAL_DELAY: Microseconds = Microseconds::from_ms(150);
-/// The longest pause of those that come first. The store's return must be noticed within a second.
+/// Maximum mean delay of the first entries in rank. They must notice the return of the store within a second.
 const DELAY_MAX: Microseconds = Microseconds::from_ms(800);
-/// Entries per step by which pauses get longer; the first so many try at the usual pace.
+/// Number of ranks after which the delay factor increases by one.
 const RANKS_PER_STEP: u64 = 4;
-/// How many times longer a pause gets at most. An entry that is alone in being cut off learns what it
-/// needs from its peers, so this only bounds what happens when all that come before it are lost.
+/// Maximum delay factor. A single entry that loses its connection to the store gets what it needs from its
+/// peers, so the bound only matters when all entries of lower rank are lost.
 const RANK_FACTOR_MAX: u64 = 8;
 
-/// A pause that grows with each failure in a row.
+/// Exponential backoff with jitter; the delay doubles with each consecutive failure.
 #[derive(Debug)]
 pub struct RetryBackoff(Microseconds);
 
@@ -27,12 +28,12 @@
 }
 
 impl RetryBackoff {
-    /// The pause before the next call of the entry that is `rank`th among those that ask. `draw` is a
-    /// random number from 0 to 1.
+    /// Returns the delay before the next call and doubles the mean for the call after that. `rank` is the
+    /// number of entries that rank before this one; `draw` is a random number from 0 to 1.
     pub fn next_delay(&mut self, rank: u32, draw: f64) -> Microseconds {
-        let stretch = (u64::from(rank) / RANKS_PER_STEP).clamp(1, RANK_FACTOR_MAX);
-        let usual = self.0.count() * stretch;
+        let rank_factor = (u64::from(rank) / RANKS_PER_STEP).clamp(1, RANK_FACTOR_MAX);
+        let mean_delay = self.0.count() * rank_factor;
         self.0 = Microseconds::new(self.0.count() * 2).min(DELAY_MAX);
-        Microseconds::new(usual / 2 + (usual as f64 * draw) as u64)
+        Microseconds::new(mean_delay / 2 + (mean_delay as f64 * draw) as u64)
     }
 }
--- a/crates/pinhaven-agree/src/seat.rs
+++ b/crates/pinhaven-agree/src/seat.rs
@@ -1,9 +1,13 @@
-//! Seats: the right to measure a part of the targets.
+//! Seats: leases on the right to measure a part of the targets.
 //!
-//! There are as many seats as the bundle says, each a row at the platform that its holder renews.
-//! The holder stops by its own clock well before anyone may take the seat, and asks that clock before
-//! each probe. A holder that is paused between asking and sending sends one probe more at the most;
-//! the measuring budget keeps that one back.
+//! The bundle sets the number of seats. Each seat is a row in the store that its holder renews. Input are
+//! the listed rows, the outcomes of writes and the current time. Output are the next row to write and the
+//! seat that may be used.
+//!
+//! The holder relies on a seat for 9 s after its last renewal by its own clock, and another entry takes the
+//! seat over only after the row has not changed for 20 s by that entry's clock. The holder checks its
+//! clock before each probe. A holder that is paused between the check and the probe sends at most one
+//! probe too many, and the measuring budget reserves that probe in advance.
 
 use pinhaven_types::Digest;
 use pinhaven_types::Incarnation;
@@ -13,30 +17,32 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// How often a seat is renewed, and looked at by those who have none.
+/// Interval at which a holder renews its seat and other entries list the rows.
 const RENEW_EVERY: Microseconds = Microseconds::from_ms(3_000);
-/// How long a holder relies on its last renewal.
+/// Time after its last renewal for which a holder may use its seat.
 const LEASE_DURATION: Microseconds = Microseconds::from_ms(9_000);
-/// How long a seat must stand still before another entry takes it.
+/// Time without a change of a seat's row after which another entry may take the seat.
 const TAKEOVER_AFTER: Microseconds = Microseconds::from_ms(20_000);
 
-/// Who holds a seat whose row names no holder; no process has this incarnation.
+/// Holder of a seat whose row names no valid holder; no process has this incarnation.
 const NO_HOLDER: Incarnation = Incarnation::new(0);
 
-/// A seat's row at the platform.
+/// Row of a seat in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeatRow {
-    /// Who holds it.
+    /// Incarnation of the entry that holds the seat.
     pub holder: Incarnation,
-    /// How often it has been renewed.
+    /// Number that changes with each renewal.
     pub renewals: u64,
 }
 
 impl SeatRow {
-    /// What a row of another writer counts as: a holder that is nobody and never renews. So the seat is
-    /// taken once the row has stood still for long, and not while its true holder may rely on it.
-    /// The renewals begin at a number of that write's own, which `version` names: counted from 0 again, the
-    /// row of a holder would come back as it was, and look as if it had stood still since.
+    /// Creates the row that stands for an unreadable row of another writer: one without a valid holder.
+    ///
+    /// The seat can be taken once the row has not changed for the usual period, and not while the previous
+    /// holder may still rely on the seat. `renewals` is derived from `version`, the store's version of that
+    /// write. If `renewals` restarted at 0, a later row of a holder could equal an earlier one and look as
+    /// if it had not changed since.
     pub fn without_holder(version: &str) -> Self {
         Self {
             holder: NO_HOLDER,
@@ -45,30 +51,31 @@
     }
 }
 
-/// What to do about the seats.
+/// Next step of a [`SeatKeeper`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SeatAction {
-    /// List the seats' rows and hand them to [`SeatKeeper::record_rows`].
+    /// List the rows of the seats and pass them to [`SeatKeeper::record_rows`].
     List,
-    /// Write a seat's row on the condition that it is as it was listed (or absent), and hand the
-    /// outcome to [`SeatKeeper::record_write`].
+    /// Write a seat's row on the condition that the stored row still equals `listed` (or is absent), and
+    /// pass the outcome to [`SeatKeeper::record_write`].
     Write {
         /// Number of the seat.
         seat: u32,
-        /// The row as it was listed.
+        /// Row as listed, if there was one.
         listed: Option<SeatRow>,
-        /// The row to write.
+        /// Row to write.
         row: SeatRow,
     },
 }
 
+/// A listed row and the time since which the row has not changed.
 #[derive(Debug)]
 struct ObservedRow {
     row: SeatRow,
     since: Microseconds,
 }
 
-/// One entry's dealings with the seats.
+/// Acquires and renews a seat for one entry.
 #[derive(Debug)]
 pub struct SeatKeeper {
     incarnation: Incarnation,
@@ -79,7 +86,7 @@
 }
 
 impl SeatKeeper {
-    /// A keeper without a seat.
+    /// Creates a keeper that holds no seat.
     pub fn new(incarnation: Incarnation, seats: u32) -> Self {
         Self {
             incarnation,
@@ -90,7 +97,7 @@
         }
     }
 
-    /// Takes in that the bundle has another number of seats. A seat past it is no longer used.
+    /// Sets the number of seats in the bundle. A held seat beyond that number is no longer used.
     pub fn set_seats(&mut self, seats: u32) {
         self.seats = seats;
         if self.held.is_some_and(|(seat, _)| seat >= seats) {
@@ -98,13 +105,13 @@
         }
     }
 
-    /// The seat that may be used at `now`. Ask before each use.
+    /// Seat that may be used at `now`. Must be checked before each use.
     pub fn seat(&self, now: Microseconds) -> Option<u32> {
         let (seat, renewed_at) = self.held?;
         (now.saturating_sub(renewed_at) < LEASE_DURATION).then_some(seat)
     }
 
-    /// What to do at `now`, if anything.
+    /// Returns the action that is due at `now`, if any.
     pub fn tick(&mut self, now: Microseconds) -> Option<SeatAction> {
         if now < self.next_at {
             return None;
@@ -113,7 +120,7 @@
         Some(SeatAction::List)
     }
 
-    /// Takes the listed rows in; returns the write to try.
+    /// Records the listed rows. Returns the renewal or acquisition to attempt.
     pub fn record_rows(
         &mut self,
         rows: &BTreeMap<u32, SeatRow>,
@@ -131,8 +138,8 @@
         Some(self.write(seat, rows.get(&seat).cloned()))
     }
 
-    /// Takes in whether a write took effect. `asked_at` is when it was begun: a renewal counts from
-    /// there, as others may have seen it any time after.
+    /// Records whether a write took effect. The lease starts at `asked_at`, the time at which the write
+    /// began, because other entries may have seen the new row at any time after that.
     pub fn record_write(&mut self, seat: u32, took_effect: bool, asked_at: Microseconds) {
         if took_effect {
             self.held = Some((seat, asked_at));
@@ -142,9 +149,9 @@
     }
 
     fn write(&self, seat: u32, listed: Option<SeatRow>) -> SeatAction {
-        let before = listed.as_ref().map_or(0, |row| row.renewals);
-        // Another writer may have left the highest number; the row only has to change.
-        let renewals = before.wrapping_add(1);
+        let previous = listed.as_ref().map_or(0, |row| row.renewals);
+        // Wraps around because another writer may have stored u64::MAX; the row only has to change.
+        let renewals = previous.wrapping_add(1);
         SeatAction::Write {
             seat,
             listed,
@@ -157,8 +164,8 @@
 
     fn observe(&mut self, rows: &BTreeMap<u32, SeatRow>, now: Microseconds) {
         for (seat, row) in rows {
-            let is_same = self.observed.get(seat).is_some_and(|seen| seen.row == *row);
-            if !is_same {
+            let is_unchanged = self.observed.get(seat).is_some_and(|last| last.row == *row);
+            if !is_unchanged {
                 let row = row.clone();
                 self.observed.insert(*seat, ObservedRow { row, since: now });
             }
@@ -169,12 +176,12 @@
     fn is_free(&self, seat: u32, now: Microseconds) -> bool {
         match self.observed.get(&seat) {
             None => true,
-            Some(seen) => now.saturating_sub(seen.since) >= TAKEOVER_AFTER,
+            Some(last) => now.saturating_sub(last.since) >= TAKEOVER_AFTER,
         }
     }
 }
 
-/// The seat whose holder measures a target.
+/// Number of the seat whose holder measures a target.
 pub fn seat_of(target: TargetAddress, seats: u32) -> u32 {
     let digest = Digest::of(target.to_string().as_bytes()).to_string();
     let start = u32::from_str_radix(&digest[..8], 16).unwrap_or_default();
--- a/crates/pinhaven-agree/src/steering.rs
+++ b/crates/pinhaven-agree/src/steering.rs
@@ -1,12 +1,14 @@
-//! Which entries serve, which of them a caller is told to use, and which speak with the store for all.
+//! Selection of the entries that serve callers, the entries named to a caller, and the store delegates.
 //!
-//! Few entries know the targets better than many: each sees more of the answers, and there are fewer to
-//! tell. So the best two of each failure domain serve, and more only while callers ask for more than
-//! those can carry. All entries rank alike, by what an instance can carry and then by a hash, so they
-//! come to the same few without a word.
+//! A few entries estimate the state of the targets better than many: each observes a larger share of the
+//! answers, and fewer entries need each other's updates. So two entries of each failure domain serve
+//! callers, and further entries join only while the demand exceeds the capacity of the serving entries.
+//! All entries use the same ranking, by capacity and then by a hash of the instance id, and so select the
+//! same entries without exchanging messages about the selection.
 //!
-//! Callers of a region are told all that serve there, whatever their failure domain. When many entries
-//! are lost at once, those who know only two can be left with none until they ask again.
+//! Callers learn the serving entries of their whole region, not only those of one failure domain. A caller
+//! that knows only two entries can be left without a usable one until its next address request when many
+//! entries fail at once.
 
 use crate::membership::MemberRow;
 use crate::membership::MemberState;
@@ -20,25 +22,25 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// Entries of each failure domain that serve whatever the load; when one fails the other is there.
+/// Number of entries in each failure domain that serve at any load, so that one can fail.
 const SERVING_PER_DOMAIN: usize = 2;
-/// How many times the demand all that serve must be able to carry. Bursts of 1.6 times are usual, and
-/// the demand that is known is the most of the last seconds.
+/// Ratio of the capacity of the serving entries to the demand. Bursts of 1.6 times the usual rate
+/// are common, but the known demand is already the peak of the last seconds.
 const HEADROOM: f64 = 1.2;
-/// Entries that an answer names at least, if there are so many.
+/// Minimum number of entries named in an answer, if that many serve.
 const NAMED_MIN: usize = 2;
-/// Entries that an answer names at most; callers take no more.
+/// Maximum number of entries named in an answer; callers ignore any beyond it.
 const NAMED_MAX: usize = 64;
-/// Entries that speak with the store for the others, at least; each may be cut off from it.
+/// Minimum number of store delegates in all failure domains, as each may lose its connection to the store.
 const DELEGATES_MIN: usize = 6;
-/// The same in each failure domain.
+/// Minimum number of store delegates in each failure domain.
 const DELEGATES_PER_DOMAIN: usize = 2;
 
-/// A member and its place in the order that all entries agree on, the lowest first.
+/// A member's row with its sort key in the order on which all entries agree, lowest first.
 type Ranked<'row> = ((Reverse<RequestRate>, u64), &'row MemberRow);
 
 impl Membership {
-    /// The entries that callers are steered to, the two of each failure domain first.
+    /// Entries that serve callers, region by region: first those that serve at any load, then those added for demand.
     pub fn serving(&self, now: Microseconds) -> Vec<&MemberRow> {
         let mut by_region: BTreeMap<Option<&Region>, Vec<Ranked<'_>>> = BTreeMap::new();
         for ranked in self.ranked(now, MemberState::Ready) {
@@ -52,10 +54,10 @@
         by_region.into_iter().flat_map(serving_in).collect()
     }
 
-    /// The entries that a caller in `region` and `domain` is told to use, those of its domain first.
+    /// Entries to name to a caller in `region` and `domain`, those of `domain` first.
     ///
-    /// An entry is named with a probability in proportion to what it can carry, as callers spread
-    /// evenly over those that are named. `draw` gives numbers from 0 to 1.
+    /// An entry is named with a probability in proportion to its capacity, because callers spread evenly
+    /// over the named entries. `draw` returns random numbers from 0 to 1.
     pub fn named_for(
         &self,
         region: Option<&Region>,
@@ -80,26 +82,28 @@
         named
     }
 
-    /// Whether this entry is one of the few that speak with the store for all: they follow the
-    /// configuration, and their rows are where entries that know nobody find the others.
+    /// Whether this entry is a store delegate, one of the few entries that use the store for all.
+    ///
+    /// Delegates follow the configuration, and entries that know no peers find them by their rows in the
+    /// store.
     pub fn is_delegate(&self, now: Microseconds) -> bool {
         let ranked = self.ranked(now, MemberState::Starting);
         self.rank_among(&ranked) < delegates_per_domain(&ranked)
     }
 
-    /// Those few, this entry included if it is one.
+    /// All store delegates, including this entry if it is one.
     pub fn delegates(&self, now: Microseconds) -> Vec<&MemberRow> {
         let ranked = self.ranked(now, MemberState::Starting);
         let per_domain = delegates_per_domain(&ranked);
         first_of_domains(ranked, per_domain).0
     }
 
-    /// How many entries of this one's failure domain come before it.
+    /// Number of entries that rank before this entry in its failure domain.
     pub fn rank_in_domain(&self, now: Microseconds) -> usize {
         self.rank_among(&self.ranked(now, MemberState::Starting))
     }
 
-    /// How many entries come before this one: first those that serve, then the others, best first.
+    /// Number of entries that rank before this entry. Serving entries rank first, then all others in order.
     pub fn rank_among_all(&self, now: Microseconds) -> usize {
         let own = self.own().incarnation;
         let serving: Vec<Incarnation> = self
@@ -111,12 +115,12 @@
             return position;
         }
         let ranked = self.ranked(now, MemberState::Starting);
-        let stand_by = ranked
+        let standby = ranked
             .iter()
             .map(|(_, row)| row.incarnation)
             .take_while(|incarnation| *incarnation != own)
             .filter(|incarnation| !serving.contains(incarnation));
-        serving.len() + stand_by.count()
+        serving.len() + standby.count()
     }
 
     fn rank_among(&self, ranked: &[Ranked<'_>]) -> usize {
@@ -128,14 +132,14 @@
             .count()
     }
 
-    /// Live members that are not leaving and have come at least as far as `from`, best first.
+    /// Live entries from state `from` up to but not including `Stopping`, highest capacity first.
     fn ranked(&self, now: Microseconds, from: MemberState) -> Vec<Ranked<'_>> {
         let mut ranked: Vec<Ranked<'_>> = self
             .live_ranked(now)
             .filter(|(_, row)| row.state >= from && row.state < MemberState::Stopping)
             .map(|(rank, row)| ((Reverse(row.capacity), rank), row))
             .collect();
-        ranked.sort_by_key(|(place, _)| *place);
+        ranked.sort_by_key(|(key, _)| *key);
         ranked
     }
 
@@ -155,27 +159,27 @@
         .max(DELEGATES_PER_DOMAIN)
 }
 
-/// The first `count` of each failure domain, and the rest.
+/// Splits entries into the first `count` of each failure domain and the remaining ones.
 fn first_of_domains(ranked: Vec<Ranked<'_>>, count: usize) -> (Vec<&MemberRow>, Vec<&MemberRow>) {
-    let mut taken: BTreeMap<&FailureDomain, usize> = BTreeMap::new();
+    let mut counts: BTreeMap<&FailureDomain, usize> = BTreeMap::new();
     ranked.into_iter().map(|(_, row)| row).partition(|row| {
-        let before = taken.entry(&row.failure_domain).or_default();
-        *before += 1;
-        *before <= count
+        let in_domain = counts.entry(&row.failure_domain).or_default();
+        *in_domain += 1;
+        *in_domain <= count
     })
 }
 
-/// Those of one region that serve: the first of each failure domain, and then as many as it takes.
+/// Selects the serving entries of one region: the first of each failure domain, then as many as `demand` needs.
 fn select_serving(ranked: Vec<Ranked<'_>>, demand: RequestRate) -> Vec<&MemberRow> {
     let (mut serving, spare) = first_of_domains(ranked, SERVING_PER_DOMAIN);
-    let wanted = f64::from(demand.per_second()) * HEADROOM;
+    let required_capacity = f64::from(demand.per_second()) * HEADROOM;
     let capacity = |row: &&MemberRow| f64::from(row.capacity.per_second());
-    let mut carried: f64 = serving.iter().map(capacity).sum();
+    let mut total_capacity: f64 = serving.iter().map(capacity).sum();
     for row in spare {
-        if carried >= wanted {
+        if total_capacity >= required_capacity {
             break;
         }
-        carried += capacity(&row);
+        total_capacity += capacity(&row);
         serving.push(row);
     }
     serving
--- a/crates/pinhaven-agree/src/store_lag.rs
+++ b/crates/pinhaven-agree/src/store_lag.rs
@@ -1,11 +1,11 @@
-//! Whether the store still tells an entry of new versions.
+//! Detection of a store that no longer delivers new versions to an entry.
 //!
-//! A call that waits for changes may be dead without a sign of it. What shows it are versions that peers
-//! have and that the store never brought.
+//! The connection of a call that waits for changes can fail without an error. A version that peers have
+//! and the store has not delivered reveals such a failure.
 
 use pinhaven_types::BundleVersion;
 
-/// The versions that the store gave to an entry, against those that its peers have.
+/// Newest version from the store and newest version expected from it.
 #[derive(Debug, Default)]
 pub struct StoreLag {
     from_store: BundleVersion,
@@ -13,20 +13,20 @@
 }
 
 impl StoreLag {
-    /// Takes in a version that the store itself gave.
+    /// Records a version that the store itself delivered.
     pub fn record_store_version(&mut self, version: BundleVersion) {
         self.from_store = self.from_store.max(version);
     }
 
-    /// Takes in that a peer has a version. Returns whether the store has to be watched for it: once a
-    /// version, however many peers tell of it and however often.
+    /// Records that a peer has a version. Returns whether the caller must check that the store delivers
+    /// the version, which is true once per version, however many peers advertise the version.
     pub fn expect_version(&mut self, version: BundleVersion) -> bool {
         let is_new = version > self.expected && self.lacks(version);
         self.expected = self.expected.max(version);
         is_new
     }
 
-    /// Whether the store has not brought a version, nor a newer one.
+    /// Whether the store has delivered neither `version` nor a newer one.
     pub fn lacks(&self, version: BundleVersion) -> bool {
         self.from_store < version
     }
--- a/crates/pinhaven-agree/src/store_pace.rs
+++ b/crates/pinhaven-agree/src/store_pace.rs
@@ -1,27 +1,28 @@
-//! How long an entry waits before it follows the store's configuration on, after an answer that came slowly.
+//! Pause of an entry between an answer of the store with the configuration and the next call.
 //!
-//! The store gives the whole configuration at each change. Over a small link that takes longer than the next change
-//! takes to come, and an entry that asked again at once each time would have no room left on its link for what peers
-//! ask it for.
+//! The store sends the whole configuration at each change. Over a slow link the transfer can take longer than the time
+//! until the next change. An entry that repeated the call at once each time would leave no capacity on its link to send
+//! versions to its peers.
 
 use pinhaven_types::Microseconds;
 
-/// An answer that came within this time leaves room for others. A link of 10 Mbit/s carries 2,700 routes in it
-/// (computed).
+/// Maximum transfer time of an answer that needs no pause. A link of 10 Mbit/s transfers 2,700 routes in this time.
 const FAST_ANSWER_MAX: Microseconds = Microseconds::from_ms(500);
-/// The pause, as a multiple of what the answer took: a quarter of the link is for the store then.
+/// Ratio of the pause to the transfer time of the answer, which leaves three quarters of the link to other traffic.
 const PAUSE_FACTOR: u64 = 3;
-/// The longest pause. Versions that come meanwhile are taken from peers.
+/// Maximum pause. Versions that appear during a pause are received from peers.
 const PAUSE_MAX: Microseconds = Microseconds::from_ms(30_000);
 
-/// The pause after an answer that took `coming` from its first byte to its last. `was_there` says whether its change had
-/// not to be waited for: one that had to is the first after a while, and the next may follow at once.
+/// Returns the pause after an answer that took `transfer` from its first byte to its last.
 ///
-/// With 60 versions, one each 250 ms, of 50 routes more each, at 30 entries on links of 1 Mbit/s, the longest time without
-/// a newer version falls from 31.8 s to 16.5 s, and is 15.5 and 19.2 s with two other seeds (emulated).
-pub fn pause_after_answer(was_there: bool, coming: Microseconds) -> Microseconds {
-    if !was_there || coming <= FAST_ANSWER_MAX {
+/// `was_available` says whether the change was already available when the call began. A call that had to wait
+/// delivered the first change after a while, so the next call may follow at once.
+///
+/// Without the pause, 30 entries on links of 1 Mbit/s went up to 32 s without a newer version while a larger version
+/// appeared every 250 ms; with the pause, less than 20 s.
+pub fn pause_after_answer(was_available: bool, transfer: Microseconds) -> Microseconds {
+    if !was_available || transfer <= FAST_ANSWER_MAX {
         return Microseconds::ZERO;
     }
-    Microseconds::new(coming.count() * PAUSE_FACTOR).min(PAUSE_MAX)
+    Microseconds::new(transfer.count() * PAUSE_FACTOR).min(PAUSE_MAX)
 }
--- a/crates/pinhaven-agree/src/transfer_budget.rs
+++ b/crates/pinhaven-agree/src/transfer_budget.rs
@@ -1,57 +1,58 @@
-//! How much of a link goes to giving versions to peers, and to how many at a time.
+//! Share of an entry's link that is used to send versions to peers.
 //!
-//! When a version comes, all entries that lack it ask the few that have it. If all were served at once, their
-//! parts would queue up behind each other at a small link, all would end late and none could give it on
-//! meanwhile. So a package is paid for as a whole when it is begun: what was begun goes on at full speed, and
-//! further askers are sent to others until it is paid off. Each that has got the version gives it on.
+//! When a version appears, all entries that lack the version request it from the few that have it. If an entry
+//! served all requests at once, the parts of all packages would queue behind each other on a slow link, all
+//! transfers would end late, and until then no receiver could serve the version to others. So the whole
+//! package is charged to the budget when its transfer begins. Transfers that have begun continue at full
+//! speed. Until the budget has recovered, further peers are refused with a retry delay and ask other entries.
+//! Each entry that has received the version serves it in turn.
 
 use pinhaven_types::Microseconds;
 
-/// Share of the link that goes to it.
+/// Share of the link that transfers to peers may use.
 const LINK_SHARE: f64 = 0.5;
-/// What may be begun at once after a quiet time, as the time in which that share of the link carries it.
-const BURST: Microseconds = Microseconds::from_ms(50);
-/// The longest that an asker is told to stay away.
+/// Budget after an idle period, as the time in which `LINK_SHARE` of the link transfers that many bytes.
+const BURST_DURATION: Microseconds = Microseconds::from_ms(50);
+/// Maximum delay that a refused peer is given before it may retry.
 pub const RETRY_DELAY_MAX: Microseconds = Microseconds::from_ms(500);
-/// Bytes a second in a megabit a second.
+/// Bytes per second in 1 Mbit/s.
 const BYTES_PER_MEGABIT: f64 = 125_000.0;
-/// Microseconds in a second.
-const MICROSECONDS: f64 = 1_000_000.0;
+/// Microseconds per second.
+const MICROSECONDS_PER_S: f64 = 1_000_000.0;
 
-/// What may be given to peers.
+/// Token bucket, in bytes, for the transfer of versions to peers.
 #[derive(Debug)]
 pub struct TransferBudget {
     bytes_per_s: f64,
     left_bytes: f64,
-    filled_at: Microseconds,
+    refilled_at: Microseconds,
 }
 
 impl TransferBudget {
-    /// The budget of an instance with such a link, in megabits a second.
+    /// Creates a full budget for an instance with a link of `link_mbps` megabits per second.
     pub fn new(link_mbps: f64) -> Self {
         let bytes_per_s = link_mbps * BYTES_PER_MEGABIT * LINK_SHARE;
         Self {
             bytes_per_s,
             left_bytes: burst_bytes(bytes_per_s),
-            filled_at: Microseconds::ZERO,
+            refilled_at: Microseconds::ZERO,
         }
     }
 
-    /// Begins to give `bytes`. The budget may be overdrawn by one package, however large that is.
+    /// Charges the transfer of a package of `bytes`. One package may overdraw the budget, however large.
     ///
     /// # Errors
     ///
-    /// How long the asker should stay away when those before it are not paid off yet.
+    /// Returns the delay after which the peer may retry if earlier transfers still overdraw the budget.
     pub fn begin(&mut self, bytes: usize, now: Microseconds) -> Result<(), Microseconds> {
-        let passed = now.saturating_sub(self.filled_at);
-        let filled = passed.count() as f64 / MICROSECONDS * self.bytes_per_s;
-        self.left_bytes = (self.left_bytes + filled).min(burst_bytes(self.bytes_per_s));
-        self.filled_at = now;
+        let elapsed = now.saturating_sub(self.refilled_at);
+        let refill = elapsed.count() as f64 / MICROSECONDS_PER_S * self.bytes_per_s;
+        self.left_bytes = (self.left_bytes + refill).min(burst_bytes(self.bytes_per_s));
+        self.refilled_at = now;
         if self.left_bytes <= 0.0 {
-            let until = -self.left_bytes / self.bytes_per_s * MICROSECONDS;
-            return Err(
-                Microseconds::new(until as u64).clamp(Microseconds::from_ms(1), RETRY_DELAY_MAX)
-            );
+            let retry_delay = -self.left_bytes / self.bytes_per_s * MICROSECONDS_PER_S;
+            return Err(Microseconds::new(retry_delay as u64)
+                .clamp(Microseconds::from_ms(1), RETRY_DELAY_MAX));
         }
         self.left_bytes -= bytes as f64;
         Ok(())
@@ -59,5 +60,5 @@
 }
 
 fn burst_bytes(bytes_per_s: f64) -> f64 {
-    bytes_per_s * BURST.count() as f64 / MICROSECONDS
+    bytes_per_s * BURST_DURATION.count() as f64 / MICROSECONDS_PER_S
 }
