--- a/crates/pinhaven-agree/tests/foreign_seats.rs
+++ b/crates/pinhaven-agree/tests/foreign_seats.rs
@@ -1,4 +1,4 @@
-//! Seats whose rows come from another writer.
+//! Seats whose rows were written by another writer than an entry.
 
 use pinhaven_agree::SeatAction;
 use pinhaven_agree::SeatKeeper;
@@ -15,7 +15,7 @@
     Microseconds::from_ms(1_000_000 + time_ms)
 }
 
-/// The number of renewals that the highest possible one is followed by is no reason to stop.
+/// Another writer can store the highest number of renewals; the next renewal must wrap around, not overflow.
 #[test]
 fn a_row_with_the_highest_number_of_renewals_can_be_renewed() {
     let mut keeper = SeatKeeper::new(OWN, 1);
@@ -25,17 +25,18 @@
     };
     let rows = BTreeMap::from([(0, listed.clone())]);
     let Some(SeatAction::Write { row, .. }) = keeper.record_rows(&rows, at_ms(0)) else {
-        panic!("the own seat is renewed");
+        panic!("the keeper must renew its own seat");
     };
     assert_ne!(
         row, listed,
-        "the others see that the seat does not stand still"
+        "the renewed row must differ from the listed one"
     );
 }
 
-/// A holder relies on its seat for some time after its last renewal, whatever another writer puts there.
+/// A holder relies on its seat for some time after its last renewal, whatever another writer stores in the row.
+/// A takeover before the row has been unchanged for the usual period would give the seat two holders.
 #[test]
-fn a_seat_whose_row_names_nobody_is_taken_once_it_has_stood_still_for_long() {
+fn a_seat_whose_row_names_no_holder_is_taken_once_the_row_has_not_changed_for_long() {
     let mut keeper = SeatKeeper::new(OWN, 1);
     let rows = BTreeMap::from([(0, SeatRow::without_holder("1"))]);
     assert_eq!(keeper.record_rows(&rows, at_ms(0)), None);
@@ -47,22 +48,22 @@
     for time_ms in (0..60_000).step_by(3_000) {
         let rows = BTreeMap::from([(0, SeatRow::without_holder(&time_ms.to_string()))]);
         let taken = keeper.record_rows(&rows, at_ms(time_ms));
-        assert_eq!(taken, None, "another writer still writes it");
+        assert_eq!(taken, None, "another writer still changes the row");
     }
 }
 
-/// Another writer spoils rows at random; two entries must never rely on one seat.
+/// Another writer overwrites rows with invalid content at random; no two entries may ever rely on the same seat.
 #[test]
-fn whatever_becomes_of_the_rows_no_two_entries_rely_on_one_seat() {
+fn no_two_entries_rely_on_one_seat_whatever_another_writer_stores() {
     fn holds(steps: Vec<(u8, u8, bool)>) -> bool {
         let mut rows: BTreeMap<u32, SeatRow> = BTreeMap::new();
         let mut keepers: Vec<SeatKeeper> = (0..3)
             .map(|number| SeatKeeper::new(Incarnation::new(number + 1), 2))
             .collect();
         let mut time_ms = 0;
-        for (version, (draw, step, is_spoiled)) in steps.into_iter().enumerate() {
+        for (version, (draw, step, is_overwritten)) in steps.into_iter().enumerate() {
             time_ms += u64::from(step) * 20;
-            if is_spoiled && draw % 8 == 0 {
+            if is_overwritten && draw % 8 == 0 {
                 let row = SeatRow::without_holder(&version.to_string());
                 rows.insert(u32::from(draw / 8 % 2), row);
             }
--- a/crates/pinhaven-agree/tests/ledger.rs
+++ b/crates/pinhaven-agree/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Once-only requests: what a ledger lets through, and how much it remembers.
+//! Ledger of once-only requests: which requests are dispatched, and how much memory the ledger uses.
 
 use pinhaven_agree::BeginOutcome;
 use pinhaven_agree::Claim;
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_request_that_is_proved_not_to_have_run_may_be_begun_again() {
+fn a_request_that_is_known_not_to_have_run_may_be_started_again() {
     let mut ledger = Ledger::new(LIMITS);
     let claim = dispatched(ledger.begin(key(1, "a"), FIRST, body("x")));
     ledger.settle_not_run(claim);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_late_message_does_not_run_what_was_said_not_to_have_run() {
+fn a_late_sending_does_not_run_a_request_that_was_answered_as_not_run() {
     let mut ledger = Ledger::new(LIMITS);
     let claim = dispatched(ledger.begin(key(1, "a"), Sending(3), body("x")));
     ledger.settle_not_run(claim);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_forgotten_epoch_is_unknown_and_one_to_come_was_never_given_out() {
+fn a_discarded_epoch_is_unknown_and_a_future_epoch_was_never_issued() {
     let mut ledger = Ledger::new(LIMITS);
     let claim = dispatched(ledger.begin(key(1, "a"), FIRST, body("x")));
     ledger.settle_answered(claim, answer(1));
@@ -204,7 +204,8 @@
     }
 }
 
-/// Random begins, settlements and epochs; no key may be dispatched again after it may have run.
+/// Applies random requests, settlements and epochs. Returns whether no key was dispatched again after its request
+/// may have run, and whether the ledger stayed within its limits.
 fn never_twice(steps: Vec<(u8, u8)>) -> bool {
     let mut ledger = Ledger::new(LIMITS);
     let mut sending = 0;
--- a/crates/pinhaven-agree/tests/membership.rs
+++ b/crates/pinhaven-agree/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is an entry, and which ones callers are told.
+//! Membership: which entries count as live, and which of them are named to callers.
 
 use pinhaven_agree::MemberRow;
 use pinhaven_agree::MemberState;
@@ -33,7 +33,7 @@
     Microseconds::from_ms(100_000 + time_ms)
 }
 
-/// A membership of entry 0 with `count` others, all heard at the start.
+/// Membership of entry 0 with `count` peers that all sent their rows at the start.
 fn members(count: u16) -> Membership {
     let mut members = Membership::new(row(0, MemberState::Ready), SILENT_AFTER);
     for number in 1..=count {
@@ -71,11 +71,11 @@
 }
 
 #[test]
-fn an_entry_whose_heart_stands_still_is_not_named() {
+fn an_entry_whose_heartbeats_stop_is_not_named() {
     let mut members = members(2);
-    let mut beating = row(1, MemberState::Ready);
-    beating.heartbeat = 2;
-    members.record_relayed_member(beating, at_ms(1_500));
+    let mut advanced = row(1, MemberState::Ready);
+    advanced.heartbeat = 2;
+    members.record_relayed_member(advanced, at_ms(1_500));
     assert_eq!(
         named(&members, "quote", 10, 2_100),
         ["entry-00", "entry-01"]
@@ -83,14 +83,14 @@
 }
 
 #[test]
-fn an_entry_that_is_heard_of_now_and_then_is_not_taken_for_gone_in_between() {
+fn an_entry_whose_rows_arrive_at_long_intervals_stays_live_in_between() {
     let mut members = members(1);
-    for beat in 1..10 {
+    for step in 1..10 {
         let mut row = row(1, MemberState::Ready);
-        row.heartbeat = 1 + beat;
-        members.record_relayed_member(row, at_ms(beat * 1_800));
+        row.heartbeat = 1 + step;
+        members.record_relayed_member(row, at_ms(step * 1_800));
     }
-    // Heard last at 16.2 s.
+    // The last heartbeat arrived at 16.2 s.
     assert_eq!(named(&members, "quote", 10, 20_000).len(), 2);
     assert_eq!(named(&members, "quote", 10, 24_000).len(), 1);
 }
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn an_entry_known_only_from_a_list_is_not_named_before_its_heart_was_seen_to_beat() {
+fn an_entry_known_only_from_a_list_is_not_named_before_its_heartbeat_counter_increases() {
     let mut members = members(0);
     members.record_relayed_member(row(1, MemberState::Ready), at_ms(0));
     assert_eq!(named(&members, "quote", 10, 1), ["entry-00"]);
@@ -125,7 +125,7 @@
     members.advance_state(MemberState::Ready);
     assert!(
         named(&members, "quote", 10, 0).is_empty(),
-        "no life goes back"
+        "the state never moves back"
     );
 }
 
@@ -169,9 +169,9 @@
         let name = format!("service-{number}");
         let before = named(&whole, &name, 4, 0);
         let after = named(&without, &name, 4, 0);
-        let kept = before.iter().filter(|entry| after.contains(entry)).count();
-        let lost = usize::from(before.contains(&"entry-05".to_owned()));
-        assert_eq!(kept, 4 - lost, "{before:?} {after:?}");
+        let retained = before.iter().filter(|entry| after.contains(entry)).count();
+        let removed = usize::from(before.contains(&"entry-05".to_owned()));
+        assert_eq!(retained, 4 - removed, "{before:?} {after:?}");
     }
 }
 
--- a/crates/pinhaven-agree/tests/seat.rs
+++ b/crates/pinhaven-agree/tests/seat.rs
@@ -1,4 +1,4 @@
-//! Seats: at no moment do two entries rely on one, whatever pauses and outages there are.
+//! Seats: no two entries rely on the same seat at the same time, whatever pauses and lost answers occur.
 
 use pinhaven_agree::SeatAction;
 use pinhaven_agree::SeatKeeper;
@@ -12,7 +12,7 @@
 const ENTRIES: usize = 4;
 const SEATS: u32 = 2;
 
-/// The platform's rows of the seats.
+/// Rows of the seats in the store.
 #[derive(Default)]
 struct Table {
     rows: BTreeMap<u32, SeatRow>,
@@ -20,11 +20,11 @@
 
 impl Table {
     fn write(&mut self, seat: u32, listed: Option<&SeatRow>, row: &SeatRow) -> bool {
-        let holds = self.rows.get(&seat) == listed;
-        if holds {
+        let is_unchanged = self.rows.get(&seat) == listed;
+        if is_unchanged {
             self.rows.insert(seat, row.clone());
         }
-        holds
+        is_unchanged
     }
 }
 
@@ -38,8 +38,8 @@
         .collect()
 }
 
-/// Lets a keeper do what it wants; its write's answer is lost if `is_lost`.
-fn act(keeper: &mut SeatKeeper, table: &mut Table, now: Microseconds, is_lost: bool) {
+/// Performs the action that a keeper requests. The answer to a write is lost if `is_lost`.
+fn run_keeper(keeper: &mut SeatKeeper, table: &mut Table, now: Microseconds, is_lost: bool) {
     if keeper.tick(now) != Some(SeatAction::List) {
         return;
     }
@@ -55,30 +55,30 @@
     let mut table = Table::default();
     let mut keepers = keepers(ENTRIES);
     for keeper in &mut keepers {
-        act(keeper, &mut table, at_ms(0), false);
+        run_keeper(keeper, &mut table, at_ms(0), false);
     }
     let seats: Vec<u32> = keepers.iter().filter_map(|k| k.seat(at_ms(1))).collect();
     assert_eq!(seats, [0, 1]);
 }
 
 #[test]
-fn a_seat_that_stands_still_is_taken_after_its_holder_has_stopped() {
+fn a_seat_that_is_no_longer_renewed_is_taken_over_after_its_holder_has_stopped() {
     let mut table = Table::default();
     let mut keepers = keepers(3);
     for keeper in &mut keepers {
-        act(keeper, &mut table, at_ms(0), false);
+        run_keeper(keeper, &mut table, at_ms(0), false);
     }
     let mut taken_at = None;
     for time_ms in (0..60_000).step_by(500) {
         for keeper in &mut keepers[1..] {
-            act(keeper, &mut table, at_ms(time_ms), false);
+            run_keeper(keeper, &mut table, at_ms(time_ms), false);
         }
         if keepers[2].seat(at_ms(time_ms)) == Some(0) {
             taken_at = Some(time_ms);
             break;
         }
     }
-    let taken_at = taken_at.expect("the silent holder's seat is taken in the end");
+    let taken_at = taken_at.expect("the silent holder's seat must be taken over within 60 s");
     assert_eq!(keepers[0].seat(at_ms(taken_at)), None);
 }
 
@@ -86,7 +86,7 @@
 fn a_holder_that_was_paused_finds_that_it_has_no_seat() {
     let mut table = Table::default();
     let mut keepers = keepers(1);
-    act(&mut keepers[0], &mut table, at_ms(0), false);
+    run_keeper(&mut keepers[0], &mut table, at_ms(0), false);
     assert_eq!(keepers[0].seat(at_ms(100)), Some(0));
     assert_eq!(keepers[0].seat(at_ms(30_000)), None);
 }
@@ -96,13 +96,13 @@
     let mut table = Table::default();
     let mut keepers = keepers(2);
     for keeper in &mut keepers {
-        act(keeper, &mut table, at_ms(0), false);
+        run_keeper(keeper, &mut table, at_ms(0), false);
         keeper.set_seats(1);
     }
     assert_eq!(keepers[1].seat(at_ms(1)), None);
 }
 
-/// Random steps, pauses and lost answers; two entries must never rely on one seat.
+/// Applies random steps, pauses and lost answers. Returns whether no two entries ever relied on the same seat.
 fn one_holder_a_seat(steps: Vec<(u8, u8)>) -> bool {
     let mut table = Table::default();
     let mut keepers = keepers(ENTRIES);
@@ -115,7 +115,7 @@
             paused_until[index] = time_ms + u64::from(step) * 500;
         }
         if time_ms >= paused_until[index] {
-            act(
+            run_keeper(
                 &mut keepers[index],
                 &mut table,
                 at_ms(time_ms),
--- a/crates/pinhaven-agree/tests/steering.rs
+++ b/crates/pinhaven-agree/tests/steering.rs
@@ -1,4 +1,4 @@
-//! Which entries serve, which a caller is told, and which speak with the store.
+//! Steering: which entries serve, which are named to a caller, and which are store delegates.
 
 use pinhaven_agree::DemandMeter;
 use pinhaven_agree::MemberRow;
@@ -13,7 +13,7 @@
 const SILENT_AFTER: Microseconds = Microseconds::from_ms(2_000);
 const NOW: Microseconds = Microseconds::from_ms(100_000);
 
-/// An entry of one of three failure domains that can carry `capacity` requests a second.
+/// Row of an entry in one of three failure domains with a capacity of `capacity` requests per second.
 fn row(number: u16, capacity: u32) -> MemberRow {
     MemberRow {
         incarnation: Incarnation::new(u128::from(number)),
@@ -31,7 +31,7 @@
     }
 }
 
-/// What the first of these entries knows of all.
+/// Membership of the first entry in `rows` after it received all other rows.
 fn members(rows: &[MemberRow]) -> Membership {
     members_of(0, rows)
 }
@@ -50,7 +50,7 @@
         .collect()
 }
 
-/// 100 small entries, and six that carry ten times as much.
+/// 100 small entries and six with ten times their capacity.
 fn mixed() -> Vec<MemberRow> {
     (0..106)
         .map(|number| row(number, if number >= 100 { 350 } else { 35 }))
@@ -82,7 +82,7 @@
         large.demand = RequestRate::new(400);
     }
     let serving = numbers(&members(&rows).serving(NOW));
-    // 2,400 requests a second with headroom are 2,880; six carry 2,100, so 23 small ones join.
+    // 2,400 requests per second with headroom are 2,880. Six large entries carry 2,100, so 23 small ones join.
     assert_eq!(serving.len(), 6 + 23);
 }
 
@@ -91,7 +91,7 @@
     let mut rows = mixed();
     rows[100].demand = RequestRate::new(1_500);
     rows[100].state = MemberState::Stopping;
-    // 1,800 with headroom; five of 350 and one small one that takes the place carry 1,785.
+    // The demand with headroom is 1,800. Five large entries and the small one that replaces the sixth carry 1,785.
     assert_eq!(members(&rows).serving(NOW).len(), 6 + 1);
 }
 
@@ -143,22 +143,22 @@
         row.failure_domain = format!("{region}-{}", number % 3).parse().unwrap();
     }
     let south = "south".parse().unwrap();
-    let told = |rows: &[MemberRow]| {
+    let named_numbers = |rows: &[MemberRow]| {
         let members = members(rows);
         let named = members.named_for(Some(&south), None, || 0.5, NOW);
         let mut numbers = numbers(&named);
         numbers.sort_unstable();
         numbers
     };
-    assert_eq!(told(&rows), [6, 7, 8, 9, 10, 11]);
+    assert_eq!(named_numbers(&rows), [6, 7, 8, 9, 10, 11]);
     for row in &mut rows[6..11] {
         row.state = MemberState::Gone;
     }
-    assert_eq!(told(&rows), [0, 1, 2, 3, 4, 5, 11]);
+    assert_eq!(named_numbers(&rows), [0, 1, 2, 3, 4, 5, 11]);
 }
 
 #[test]
-fn few_entries_speak_with_the_store_and_others_take_their_place() {
+fn few_entries_are_store_delegates_and_others_replace_lost_ones() {
     let delegates = |rows: &[MemberRow]| -> Vec<usize> {
         let is_delegate = |own: &usize| members_of(*own, rows).is_delegate(NOW);
         (0..rows.len()).filter(is_delegate).collect()
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn in_a_single_failure_domain_enough_entries_speak_with_the_store() {
+fn a_single_failure_domain_has_enough_store_delegates() {
     let mut rows: Vec<MemberRow> = (0..18).map(|number| row(number, 140)).collect();
     for row in &mut rows {
         row.failure_domain = "only".parse().unwrap();
@@ -191,25 +191,25 @@
     let at = Microseconds::from_ms;
     assert_eq!(meter.record(50, at(500)), RequestRate::new(100));
     assert_eq!(meter.record(150, at(1_000)), RequestRate::new(200));
-    // Too soon to tell.
+    // The window is shorter than the minimum, so the rate does not change.
     assert_eq!(meter.record(400, at(1_010)), RequestRate::new(200));
     let lull = meter.record(400, at(11_000)).per_second();
     assert!((95..=105).contains(&lull), "{lull}");
 }
 
 #[test]
-fn each_entry_has_a_place_of_its_own_and_those_that_serve_come_first() {
+fn each_entry_has_a_rank_of_its_own_and_serving_entries_rank_first() {
     let rows = mixed();
-    let mut places: Vec<usize> = (0..rows.len())
+    let mut ranks: Vec<usize> = (0..rows.len())
         .map(|own| {
             let members = members_of(own, &rows);
-            let place = members.rank_among_all(NOW);
+            let rank = members.rank_among_all(NOW);
             let serving = members.serving(NOW);
             let serves = serving.iter().any(|row| **row == rows[own]);
-            assert_eq!(serves, place < serving.len(), "entry {own} at {place}");
-            place
+            assert_eq!(serves, rank < serving.len(), "entry {own} at {rank}");
+            rank
         })
         .collect();
-    places.sort_unstable();
-    assert_eq!(places, (0..rows.len()).collect::<Vec<_>>());
+    ranks.sort_unstable();
+    assert_eq!(ranks, (0..rows.len()).collect::<Vec<_>>());
 }
--- a/crates/pinhaven-agree/tests/store_pace.rs
+++ b/crates/pinhaven-agree/tests/store_pace.rs
@@ -1,4 +1,4 @@
-//! How entries ask the store when it fails them.
+//! Calls to the store during an outage, after lost notifications and over slow links.
 
 use pinhaven_agree::RetryBackoff;
 use pinhaven_agree::StoreLag;
@@ -8,14 +8,14 @@
 
 const OUTAGE: Microseconds = Microseconds::from_ms(3_000);
 
-/// Calls that an entry makes in an outage, at the middle of what is drawn.
+/// Number of calls that an entry makes during an outage, with the mean jitter.
 fn calls_in_outage(rank: u32) -> u32 {
-    let mut pause = RetryBackoff::default();
-    let mut spent = Microseconds::ZERO;
+    let mut backoff = RetryBackoff::default();
+    let mut elapsed = Microseconds::ZERO;
     let mut calls = 0;
-    while spent < OUTAGE {
+    while elapsed < OUTAGE {
         calls += 1;
-        spent = spent.plus(pause.next_delay(rank, 0.5));
+        elapsed = elapsed.plus(backoff.next_delay(rank, 0.5));
     }
     calls
 }
@@ -23,9 +23,9 @@
 #[test]
 fn the_first_entries_notice_the_return_of_the_store_within_a_second() {
     for rank in 0..8 {
-        let mut pause = RetryBackoff::default();
+        let mut backoff = RetryBackoff::default();
         for _ in 0..10 {
-            assert!(pause.next_delay(rank, 0.5) <= Microseconds::from_ms(1_000));
+            assert!(backoff.next_delay(rank, 0.5) <= Microseconds::from_ms(1_000));
         }
     }
 }
@@ -39,18 +39,18 @@
 }
 
 #[test]
-fn a_version_that_many_peers_tell_of_is_expected_from_the_store_once() {
+fn a_version_that_many_peers_advertise_is_expected_from_the_store_once() {
     let mut lag = StoreLag::default();
     let (third, fourth) = (BundleVersion::new(3), BundleVersion::new(4));
-    let told = (0..50).filter(|_| lag.expect_version(third)).count();
-    assert_eq!(told, 1);
+    let expected = (0..50).filter(|_| lag.expect_version(third)).count();
+    assert_eq!(expected, 1);
     assert!(lag.lacks(third));
     lag.record_store_version(third);
     assert!(!lag.lacks(third));
     assert!(lag.expect_version(fourth));
     assert!(
         !lag.expect_version(third),
-        "what the store brought is not expected"
+        "a version that the store delivered is not expected"
     );
 }
 
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_store_that_fills_the_link_is_asked_again_after_a_while() {
-    // (whether the change was there, how long it came, the pause; in milliseconds)
+    // (whether the change was already available, transfer time in ms, pause in ms)
     let table = [
         (false, 10, 0),
         (false, 5_000, 0),
@@ -74,12 +74,12 @@
         (true, 5_000, 15_000),
         (true, 20_000, 30_000),
     ];
-    for (was_there, coming_ms, pause_ms) in table {
-        let pause = pause_after_answer(was_there, Microseconds::from_ms(coming_ms));
+    for (was_available, transfer_ms, pause_ms) in table {
+        let pause = pause_after_answer(was_available, Microseconds::from_ms(transfer_ms));
         assert_eq!(
             pause,
             Microseconds::from_ms(pause_ms),
-            "{was_there}, {coming_ms} ms"
+            "{was_available}, {transfer_ms} ms"
         );
     }
 }
