--- a/crates/pinhaven-agree/src/lib.rs
+++ b/crates/pinhaven-agree/src/lib.rs
@@ -1,12 +1,18 @@
-//! What entries agree on, free of I/O: versions in force, once-only requests, membership and seats.
+//! State that entries agree on: versions in force, target lists, once-only requests, membership and seats.
 //!
-//! Nothing here rests on a lease that was looked at before a pause. A version in force only grows; a
-//! once-only request has one home that alone may dispatch it; a member's word that it stops is final;
-//! a seat's holder asks its own clock before each use, and what a pause between asking and using can
-//! cost is paid for beforehand.
+//! The crate does no I/O. Callers pass in received messages, rows of the store and the current time; the
+//! types of this crate return decisions such as a request to send or a row to write.
+//!
+//! A process can be paused between a check of its lease and the action that relies on the check. Agreement
+//! therefore never depends on such a check alone:
+//!
+//! - The version in force of an entry never decreases.
+//! - A once-only request has one home, and only the home may dispatch the request.
+//! - A member that has announced its stop never becomes ready again in the same incarnation.
+//! - The holder of a seat checks its lease by its own clock before each probe. A pause after the check
+//!   allows at most one probe too many, and the measuring budget reserves that probe in advance.
 
 mod demand;
-mod giving;
 mod latest_runs;
 mod ledger;
 mod list_step;
@@ -14,26 +20,25 @@
 mod membership;
 mod packages;
 mod recent_deltas;
-mod retry_pause;
+mod retry_backoff;
 mod seat;
 mod steering;
 mod store_lag;
 mod store_pace;
 mod target_list;
+mod transfer_budget;
 mod version;
 mod version_fetch;
 mod version_lag;
 
 pub use demand::DemandMeter;
-pub use giving::AWAY_MOST;
-pub use giving::GivingBudget;
-pub use ledger::Begin;
+pub use ledger::BeginOutcome;
 pub use ledger::Claim;
 pub use ledger::Epoch;
-pub use ledger::Fingerprint;
 pub use ledger::Home;
 pub use ledger::Ledger;
 pub use ledger::LedgerLimits;
+pub use ledger::OnceFingerprint;
 pub use ledger::OnceKey;
 pub use ledger::ParseHomeError;
 pub use ledger::Sending;
@@ -50,7 +55,7 @@
 pub use packages::PackageStart;
 pub use packages::Packages;
 pub use recent_deltas::RecentDeltas;
-pub use retry_pause::RetryPause;
+pub use retry_backoff::RetryBackoff;
 pub use seat::SeatAction;
 pub use seat::SeatKeeper;
 pub use seat::SeatRow;
@@ -59,6 +64,8 @@
 pub use store_pace::pause_after_answer;
 pub use target_list::KnownTargets;
 pub use target_list::PeerList;
+pub use transfer_budget::RETRY_DELAY_MAX;
+pub use transfer_budget::TransferBudget;
 pub use version::Offer;
 pub use version::Offered;
 pub use version::OlderVersion;
--- a/crates/pinhaven-agree/tests/version_fetch.rs
+++ b/crates/pinhaven-agree/tests/version_fetch.rs
@@ -1,14 +1,14 @@
 //! Fetching a version in parts: received parts are retained, and each attempt makes progress.
 
-use pinhaven_agree::AWAY_MOST;
 use pinhaven_agree::Fetched;
-use pinhaven_agree::GivingBudget;
 use pinhaven_agree::MemberRow;
 use pinhaven_agree::MemberState;
 use pinhaven_agree::Membership;
 use pinhaven_agree::PART_BYTES_MAX;
 use pinhaven_agree::Part;
 use pinhaven_agree::PartRequest;
+use pinhaven_agree::RETRY_DELAY_MAX;
+use pinhaven_agree::TransferBudget;
 use pinhaven_agree::VersionFetch;
 use pinhaven_types::BundleVersion;
 use pinhaven_types::Digest;
@@ -208,12 +208,12 @@
 #[test]
 fn transfers_use_half_of_the_link_and_no_peer_waits_long() {
     // 10 Mbit/s are 1.25 MB/s.
-    let mut budget = GivingBudget::new(10.0);
+    let mut budget = TransferBudget::new(10.0);
     let mut sent_bytes = 0;
     for time_ms in 0..10_000 {
         match budget.begin(PACKAGE_BYTES, Microseconds::from_ms(time_ms)) {
             Ok(()) => sent_bytes += PACKAGE_BYTES,
-            Err(retry_after) => assert!(retry_after <= AWAY_MOST),
+            Err(retry_after) => assert!(retry_after <= RETRY_DELAY_MAX),
         }
     }
     let share = sent_bytes as f64 / 12_500_000.0;
@@ -222,14 +222,14 @@
 
 #[test]
 fn few_transfers_start_at_a_time_so_that_the_receivers_can_soon_serve_others() {
-    let mut budget = GivingBudget::new(10.0);
+    let mut budget = TransferBudget::new(10.0);
     let started = (0..100).filter(|_| budget.begin(PACKAGE_BYTES, Microseconds::ZERO).is_ok());
     assert_eq!(started.count(), 2);
 }
 
 #[test]
 fn a_link_that_takes_minutes_for_a_package_gives_it_all_the_same() {
-    let mut budget = GivingBudget::new(0.01);
+    let mut budget = TransferBudget::new(0.01);
     assert_eq!(budget.begin(PACKAGE_BYTES, Microseconds::ZERO), Ok(()));
     let later = (1..600).find(|second| {
         let now = Microseconds::from_ms(second * 1_000);
@@ -262,7 +262,7 @@
     let mut members = Membership::new(row(0, "a", 1), Microseconds::from_ms(1_000));
     let now = Microseconds::from_ms(1);
     for (number, domain, version) in [(1, "a", 2), (2, "a", 2), (3, "a", 1), (4, "b", 2)] {
-        members.hear(row(number, domain, version), now);
+        members.record_member(row(number, domain, version), now);
     }
     let newer = BundleVersion::new(2);
     let mut chosen: Vec<u16> = (0..100)
--- a/crates/pinhaven-entry/src/crashes/watch.rs
+++ b/crates/pinhaven-entry/src/crashes/watch.rs
@@ -185,7 +185,7 @@
         let now = self.now();
         let members = self.members.lock();
         Some(TrialTurn {
-            rank: members.place_among_all(now) as u64,
+            rank: members.rank_among_all(now) as u64,
             entries: members.live_peers(now).len() as u64 + 1,
         })
     }
