--- a/crates/pinhaven-entry/src/callers/directory.rs
+++ b/crates/pinhaven-entry/src/callers/directory.rs
@@ -40,7 +40,7 @@
     };
     let settings = HttpServerSettings {
         idle_ms: IDLE_MS,
-        connections_most: CONNECTIONS_MAX,
+        connections_max: CONNECTIONS_MAX,
         allows_http2: false,
     };
     let ready = listen(
--- a/crates/pinhaven-entry/src/once_only/claims.rs
+++ b/crates/pinhaven-entry/src/once_only/claims.rs
@@ -78,7 +78,7 @@
     match entry.count_platform(read) {
         Ok(Some(row)) => row.value.parse().map_err(|error| {
             let fault = RowFault::form(error);
-            entry.table.leave_out(CLAIM_PREFIX, row_key, &fault);
+            entry.table.record_skipped(CLAIM_PREFIX, row_key, &fault);
             ClaimFailed(format!("row {row_key} names no home"))
         }),
         Ok(None) => Err(ClaimFailed("the claim could not be settled".to_owned())),
--- a/crates/pinhaven-entry/src/peers/gossip.rs
+++ b/crates/pinhaven-entry/src/peers/gossip.rs
@@ -215,7 +215,7 @@
                 Ok(row) => {
                     members.hear_of(row, now);
                 }
-                Err(fault) => self.table.leave_out(ENTRY_PREFIX, &row.key, &fault),
+                Err(fault) => self.table.record_skipped(ENTRY_PREFIX, &row.key, &fault),
             }
         }
     }
--- a/crates/pinhaven-entry/src/start.rs
+++ b/crates/pinhaven-entry/src/start.rs
@@ -63,7 +63,7 @@
         settings.caller_address,
         HttpServerSettings {
             idle_ms: settings.caller_idle_ms,
-            connections_most: settings.requests_most as usize,
+            connections_max: settings.requests_most as usize,
             allows_http2: settings.caller_http2,
         },
     )?;
@@ -72,7 +72,7 @@
         settings.peer_address,
         HttpServerSettings {
             idle_ms: PEER_IDLE_MS,
-            connections_most: PEER_CONNECTIONS_MAX,
+            connections_max: PEER_CONNECTIONS_MAX,
             allows_http2: true,
         },
     )?;
--- a/crates/pinhaven-entry/src/targets/seats.rs
+++ b/crates/pinhaven-entry/src/targets/seats.rs
@@ -75,7 +75,7 @@
     fn seat_number(&self, row: &Row) -> Option<u32> {
         let number = row.key.strip_prefix(SEAT_PREFIX).unwrap_or_default();
         let seat = number.parse().map_err(RowFault::key);
-        seat.inspect_err(|fault| self.table.leave_out(SEAT_PREFIX, &row.key, fault))
+        seat.inspect_err(|fault| self.table.record_skipped(SEAT_PREFIX, &row.key, fault))
             .ok()
     }
 
@@ -83,7 +83,7 @@
     fn seat_row(&self, row: &Row) -> SeatRow {
         serde_json::from_str(&row.value).unwrap_or_else(|error| {
             let fault = RowFault::form(error);
-            self.table.leave_out(SEAT_PREFIX, &row.key, &fault);
+            self.table.record_skipped(SEAT_PREFIX, &row.key, &fault);
             SeatRow::of_nobody(row.version.as_str())
         })
     }
--- a/crates/pinhaven-entry/src/versions/bundles.rs
+++ b/crates/pinhaven-entry/src/versions/bundles.rs
@@ -64,7 +64,7 @@
             Ok(head) => head,
             Err(error) => {
                 let fault = RowFault::form(error);
-                self.table.leave_out(BUNDLE_HEAD, &row.key, &fault);
+                self.table.record_skipped(BUNDLE_HEAD, &row.key, &fault);
                 return false;
             }
         };
--- a/crates/pinhaven-entry/src/versions/discovered.rs
+++ b/crates/pinhaven-entry/src/versions/discovered.rs
@@ -9,7 +9,7 @@
 use pinhaven_agree::RetryPause;
 use pinhaven_agree::pause_after_answer;
 use pinhaven_bundle::CanonicalBundle;
-use pinhaven_platform::ConfigurationNews;
+use pinhaven_platform::ConfigurationUpdate;
 use pinhaven_platform::Discovery;
 use pinhaven_runtime::AnswerTimes;
 use pinhaven_runtime::sleep_ms;
@@ -97,11 +97,11 @@
 
     /// Waits after changes that came slowly one after the other, so that peers have a part of the link, too.
     async fn leave_room_on_link(&self, times: Option<AnswerTimes>) {
-        let Some(AnswerTimes { waited, coming }) = times else {
+        let Some(AnswerTimes { wait, transfer }) = times else {
             return;
         };
-        let coming = Microseconds::new(coming.as_micros() as u64);
-        let pause = pause_after_answer(waited < AT_ONCE, coming);
+        let transfer = Microseconds::new(transfer.as_micros() as u64);
+        let pause = pause_after_answer(wait < AT_ONCE, transfer);
         if pause > Microseconds::ZERO {
             log::info!(
                 target: "bundle",
@@ -112,7 +112,7 @@
         }
     }
 
-    async fn take_configuration(self: &Arc<Self>, news: ConfigurationNews) {
+    async fn take_configuration(self: &Arc<Self>, news: ConfigurationUpdate) {
         let Some(bundle) = news.bundle else {
             return;
         };
--- a/crates/pinhaven-peer/src/client.rs
+++ b/crates/pinhaven-peer/src/client.rs
@@ -22,7 +22,7 @@
 /// How long a connection is used again after it last brought an answer. Networks drop connections
 /// without a word; a new one costs a round trip, a call on a dead one its whole timeout. Exchanges come
 /// several times a second, so this concerns the calls that are rare.
-const TRUSTED_FOR: Duration = Duration::from_secs(2);
+const CHANNEL_TRUST: Duration = Duration::from_secs(2);
 
 /// The call that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DisplayDoc)]
@@ -64,7 +64,7 @@
 
 impl Held {
     fn is_trusted(&self) -> bool {
-        !self.channel.is_closed() && self.answered_at.elapsed() < TRUSTED_FOR
+        !self.channel.is_closed() && self.answered_at.elapsed() < CHANNEL_TRUST
     }
 }
 
@@ -188,7 +188,7 @@
     }
 
     /// Closes the connections to all peers but these.
-    pub fn keep_only(&self, peers: &[SocketAddr]) {
+    pub fn retain_only(&self, peers: &[SocketAddr]) {
         self.channels.lock().retain(|peer, _| peers.contains(peer));
     }
 }
--- a/crates/pinhaven-peer/tests/silence.rs
+++ b/crates/pinhaven-peer/tests/silence.rs
@@ -62,7 +62,7 @@
 fn serve_holder() -> std::net::SocketAddr {
     let settings = HttpServerSettings {
         idle_ms: 60_000,
-        connections_most: 10,
+        connections_max: 10,
         allows_http2: true,
     };
     let server = HttpServer::bind(([127, 0, 0, 1], 0).into(), settings).unwrap();
--- a/crates/pinhaven-platform/src/discovery.rs
+++ b/crates/pinhaven-platform/src/discovery.rs
@@ -18,7 +18,7 @@
 
 /// What a look at the configuration brought.
 #[derive(Debug)]
-pub struct ConfigurationNews {
+pub struct ConfigurationUpdate {
     /// The configuration, if there is one that was not known at the place looked from.
     pub bundle: Option<Bundle>,
     /// Where to look from next time.
@@ -40,7 +40,7 @@
     async fn next_configuration(
         &self,
         position: Option<FeedPosition>,
-    ) -> Result<ConfigurationNews, PlatformError>;
+    ) -> Result<ConfigurationUpdate, PlatformError>;
 
     /// Whether a new configuration is coming in at this moment.
     fn is_receiving_configuration(&self) -> bool;
--- a/crates/pinhaven-platform/src/foreign.rs
+++ b/crates/pinhaven-platform/src/foreign.rs
@@ -9,12 +9,12 @@
 use std::collections::BTreeMap;
 
 /// Rows that are named one by one; all others are counted together.
-const NAMED_MOST: usize = 64;
+const NAMED_ROWS_MAX: usize = 64;
 /// Key that stands for those others.
 const OTHER_KEYS: &str = "other";
 /// The longest that a key or a message is told, in characters. A message may quote the row, which may
 /// be large.
-const TOLD_CHARS_MOST: usize = 120;
+const LOGGED_CHARS_MAX: usize = 120;
 
 /// What can't be used about a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, DisplayDoc)]
@@ -94,7 +94,7 @@
     }
 
     /// Takes in that a read has left a row out.
-    pub fn leave_out(&self, table: &str, key: &str, fault: &RowFault) {
+    pub fn record_skipped(&self, table: &str, key: &str, fault: &RowFault) {
         let row = ForeignRow {
             table: table.to_owned(),
             reason: fault.reason,
@@ -103,7 +103,7 @@
         let mut counts = self.counts.lock();
         if let Some(count) = counts.get_mut(&row) {
             *count += 1;
-        } else if counts.len() < NAMED_MOST {
+        } else if counts.len() < NAMED_ROWS_MAX {
             log_named(&row, fault);
             counts.insert(row, 1);
         } else {
@@ -145,9 +145,9 @@
 /// The beginning of a text, with characters that a log line or a label may not hold replaced.
 fn shortened(text: &str) -> String {
     let is_plain = |c: &char| c.is_ascii_graphic() || *c == ' ';
-    let chars = text.chars().take(TOLD_CHARS_MOST);
+    let chars = text.chars().take(LOGGED_CHARS_MAX);
     let mut told: String = chars.map(|c| if is_plain(&c) { c } else { '?' }).collect();
-    if text.chars().nth(TOLD_CHARS_MOST).is_some() {
+    if text.chars().nth(LOGGED_CHARS_MAX).is_some() {
         told.push_str("...");
     }
     told
--- a/crates/pinhaven-platform/src/http.rs
+++ b/crates/pinhaven-platform/src/http.rs
@@ -44,8 +44,8 @@
     }
 
     /// Takes in that a row was read that is another writer's.
-    pub fn leave_out(&self, table: &str, key: &str, fault: &RowFault) {
-        self.foreign.leave_out(table, key, fault);
+    pub fn record_skipped(&self, table: &str, key: &str, fault: &RowFault) {
+        self.foreign.record_skipped(table, key, fault);
     }
 
     /// How often each row of another writer was left out.
@@ -112,7 +112,7 @@
         let rows = rows.iter().filter_map(|listed| {
             listed
                 .to_row()
-                .inspect_err(|fault| self.leave_out(prefix, listed.key(), fault))
+                .inspect_err(|fault| self.record_skipped(prefix, listed.key(), fault))
                 .ok()
         });
         Ok(rows.collect())
--- a/crates/pinhaven-platform/src/lib.rs
+++ b/crates/pinhaven-platform/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use crate::http::HttpObjectStore;
 pub use crate::http::HttpTableService;
-pub use discovery::ConfigurationNews;
+pub use discovery::ConfigurationUpdate;
 pub use discovery::Discovery;
 pub use discovery::FeedPosition;
 pub use error::PlatformError;
--- a/crates/pinhaven-platform/tests/foreign_counts.rs
+++ b/crates/pinhaven-platform/tests/foreign_counts.rs
@@ -11,9 +11,9 @@
 fn a_row_is_counted_by_key_and_reason_at_every_read() {
     let rows = ForeignRows::new();
     for _ in 0..3 {
-        rows.leave_out("servers", "i-1", &RowFault::form("missing field"));
+        rows.record_skipped("servers", "i-1", &RowFault::form("missing field"));
     }
-    rows.leave_out("servers", "i-1", &RowFault::encoding("no base64"));
+    rows.record_skipped("servers", "i-1", &RowFault::encoding("no base64"));
     let counts: Vec<(ForeignReason, u64)> = rows
         .counts()
         .into_iter()
@@ -30,7 +30,7 @@
     let rows = ForeignRows::new();
     for number in 0..10_000 {
         let key = format!("i-{number}");
-        rows.leave_out("servers", &key, &RowFault::form("missing field"));
+        rows.record_skipped("servers", &key, &RowFault::form("missing field"));
     }
     let counts = rows.counts();
     assert!(counts.len() <= 70, "{}", counts.len());
@@ -44,7 +44,7 @@
     fn is_plain(keys: Vec<String>) -> bool {
         let rows = ForeignRows::new();
         for key in keys.iter().chain([&"k".repeat(60_000)]) {
-            rows.leave_out("servers", key, &RowFault::key("no id"));
+            rows.record_skipped("servers", key, &RowFault::key("no id"));
         }
         let told: BTreeSet<String> = rows.counts().into_keys().map(|row| row.key).collect();
         let is_plain = |key: &String| key.chars().all(|c| c.is_ascii_graphic() || c == ' ');
--- a/crates/pinhaven-runtime/src/client.rs
+++ b/crates/pinhaven-runtime/src/client.rs
@@ -34,7 +34,7 @@
 /// whether it is there, and the time between two such questions. Each costs a packet either way.
 const KEEP_ALIVE: Duration = Duration::from_secs(1);
 /// Such questions without an answer after which a connection counts as broken.
-const KEEP_ALIVE_ASKED_MOST: u32 = 2;
+const KEEP_ALIVE_PROBES_MAX: u32 = 2;
 /// Idle connections that a client keeps unless told otherwise.
 const IDLE_CONNECTIONS_DEFAULT: usize = 4;
 
@@ -87,12 +87,12 @@
 /// # Errors
 ///
 /// The system's error when the peer can't be reached.
-pub async fn connect_kept_alive(peer: SocketAddr) -> std::io::Result<Async<TcpStream>> {
+pub async fn connect_with_keep_alive(peer: SocketAddr) -> std::io::Result<Async<TcpStream>> {
     let stream = connect_stream(peer).await?;
     let keep_alive = TcpKeepalive::new()
         .with_time(KEEP_ALIVE)
         .with_interval(KEEP_ALIVE)
-        .with_retries(KEEP_ALIVE_ASKED_MOST);
+        .with_retries(KEEP_ALIVE_PROBES_MAX);
     SockRef::from(stream.get_ref()).set_tcp_keepalive(&keep_alive)?;
     Ok(stream)
 }
@@ -130,9 +130,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerTimes {
     /// Until its first byte came.
-    pub waited: Duration,
+    pub wait: Duration,
     /// From then until its last.
-    pub coming: Duration,
+    pub transfer: Duration,
 }
 
 /// A client for small control calls to one peer.
@@ -143,7 +143,7 @@
     /// How long each further piece of it may take.
     piece_timeout: Duration,
     whole_timeout: Duration,
-    idle_most: usize,
+    idle_max: usize,
     is_kept_alive: bool,
     idle: Mutex<Vec<http1::SendRequest<AnyBody>>>,
     /// Answers that have begun and go on.
@@ -175,7 +175,7 @@
             timeout,
             piece_timeout: timeout,
             whole_timeout: timeout,
-            idle_most: IDLE_CONNECTIONS_DEFAULT,
+            idle_max: IDLE_CONNECTIONS_DEFAULT,
             is_kept_alive: false,
             idle: Mutex::new(Vec::new()),
             receiving: AtomicUsize::new(0),
@@ -193,9 +193,9 @@
         self
     }
 
-    /// Keeps up to `idle_most` idle connections.
-    pub fn with_idle_connections(mut self, idle_most: usize) -> Self {
-        self.idle_most = idle_most;
+    /// Keeps up to `idle_max` idle connections.
+    pub fn with_idle_connections(mut self, idle_max: usize) -> Self {
+        self.idle_max = idle_max;
         self
     }
 
@@ -243,11 +243,11 @@
         let asked_at = Instant::now();
         let answered = within(self.timeout, self.send(request)).await;
         let (sender, response) = answered.unwrap_or_else(|| Err(self.late("no answer in time")))?;
-        let waited = asked_at.elapsed();
+        let wait = asked_at.elapsed();
         let (mut head, body) = response.into_parts();
         let body = self.receive(body).await?;
-        let coming = asked_at.elapsed() - waited;
-        head.extensions.insert(AnswerTimes { waited, coming });
+        let transfer = asked_at.elapsed() - wait;
+        head.extensions.insert(AnswerTimes { wait, transfer });
         self.keep(sender);
         Ok(Response::from_parts(head, body))
     }
@@ -298,7 +298,7 @@
             }
         }
         let connected = if self.is_kept_alive {
-            connect_kept_alive(self.peer).await
+            connect_with_keep_alive(self.peer).await
         } else {
             connect_stream(self.peer).await
         };
@@ -313,7 +313,7 @@
 
     fn keep(&self, sender: http1::SendRequest<AnyBody>) {
         if let Ok(mut idle) = self.idle.lock()
-            && idle.len() < self.idle_most
+            && idle.len() < self.idle_max
         {
             idle.push(sender);
         }
--- a/crates/pinhaven-runtime/src/server.rs
+++ b/crates/pinhaven-runtime/src/server.rs
@@ -37,7 +37,7 @@
 const LAST_REQUEST_MS: u64 = 200;
 /// Connections that are still taken once the server stops, at the most: what the system keeps for a server that has not
 /// come to them.
-const LAST_CONNECTIONS_MOST: usize = 4_096;
+const LAST_CONNECTIONS_MAX: usize = 4_096;
 /// How long the server waits after a failed accept, in milliseconds.
 const ACCEPT_RETRY_MS: u64 = 10;
 
@@ -47,7 +47,7 @@
     /// How long a connection may be idle or take for a head, in milliseconds.
     pub idle_ms: u64,
     /// The most connections at a time.
-    pub connections_most: usize,
+    pub connections_max: usize,
     /// Whether connections may speak HTTP/2. Telling it from HTTP/1.1 costs each connection memory.
     pub allows_http2: bool,
 }
@@ -146,7 +146,7 @@
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = Response<AnyBody>> + Send + 'static,
     {
-        for _ in 0..LAST_CONNECTIONS_MOST {
+        for _ in 0..LAST_CONNECTIONS_MAX {
             let Ok((stream, peer)) = listener.get_ref().accept() else {
                 return;
             };
@@ -162,7 +162,7 @@
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = Response<AnyBody>> + Send + 'static,
     {
-        if self.open.load(Ordering::Relaxed) >= self.settings.connections_most {
+        if self.open.load(Ordering::Relaxed) >= self.settings.connections_max {
             return;
         }
         self.open.fetch_add(1, Ordering::Relaxed);
--- a/crates/pinhaven-runtime/tests/client.rs
+++ b/crates/pinhaven-runtime/tests/client.rs
@@ -6,8 +6,8 @@
 use pinhaven_runtime::CallStep;
 use pinhaven_runtime::HttpClient;
 use pinhaven_runtime::block_on;
-use pinhaven_runtime::connect_kept_alive;
 use pinhaven_runtime::connect_stream;
+use pinhaven_runtime::connect_with_keep_alive;
 use pinhaven_runtime::sleep_ms;
 use socket2::SockRef;
 use std::io::Read as _;
@@ -23,7 +23,7 @@
 fn a_connection_that_is_kept_alive_breaks_within_three_seconds_of_silence() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let stream = block_on(connect_kept_alive(address)).unwrap();
+    let stream = block_on(connect_with_keep_alive(address)).unwrap();
     let socket = SockRef::from(stream.get_ref());
     assert!(socket.keepalive().unwrap());
     let asked = socket.tcp_keepalive_retries().unwrap();
--- a/crates/pinhaven-runtime/tests/server.rs
+++ b/crates/pinhaven-runtime/tests/server.rs
@@ -68,7 +68,7 @@
 fn a_connection_that_rests_holds_no_room_for_requests() {
     let settings = HttpServerSettings {
         idle_ms: 60_000,
-        connections_most: CONNECTIONS * 2,
+        connections_max: CONNECTIONS * 2,
         allows_http2: false,
     };
     let server = HttpServer::bind(([127, 0, 0, 1], 0).into(), settings).unwrap();
--- a/crates/pinhaven-runtime/tests/server_stop.rs
+++ b/crates/pinhaven-runtime/tests/server_stop.rs
@@ -25,7 +25,7 @@
 fn connections_that_wait_when_a_server_stops_are_served() {
     let settings = HttpServerSettings {
         idle_ms: 60_000,
-        connections_most: CONNECTIONS,
+        connections_max: CONNECTIONS,
         allows_http2: false,
     };
     let server = HttpServer::bind(([127, 0, 0, 1], 0).into(), settings).unwrap();
--- a/crates/pinhaven-stand-in/src/platform.rs
+++ b/crates/pinhaven-stand-in/src/platform.rs
@@ -86,7 +86,7 @@
     pub fn start(address: SocketAddr, seed: u64) -> std::io::Result<Self> {
         let settings = HttpServerSettings {
             idle_ms: 300_000,
-            connections_most: 10_000,
+            connections_max: 10_000,
             allows_http2: true,
         };
         let server = HttpServer::bind(address, settings)?;
--- a/crates/pinhaven-stand-in/src/target.rs
+++ b/crates/pinhaven-stand-in/src/target.rs
@@ -137,7 +137,7 @@
     pub fn start(address: SocketAddr, settings: TargetSettings) -> std::io::Result<Self> {
         let server_settings = HttpServerSettings {
             idle_ms: 300_000,
-            connections_most: 1_000,
+            connections_max: 1_000,
             allows_http2: true,
         };
         let server = HttpServer::bind(address, server_settings)?;
