--- a/crates/pinhaven-peer/examples/generate.rs
+++ b/crates/pinhaven-peer/examples/generate.rs
@@ -1,6 +1,6 @@
 //! Writes `src/generated/pinhaven.peer.rs` from `proto/peer.proto`.
 //!
-//! Run it by hand after a change of the protocol: `cargo run -p pinhaven-peer --example generate`.
+//! Run the example by hand after each change of the protocol: `cargo run -p pinhaven-peer --example generate`.
 
 use std::path::Path;
 
--- a/crates/pinhaven-peer/src/channel.rs
+++ b/crates/pinhaven-peer/src/channel.rs
@@ -1,4 +1,7 @@
-//! An HTTP/2 connection that the generated client can use.
+//! An HTTP/2 connection to a peer, as a service of the generated client.
+//!
+//! The generated client is built without tonic's transport. The connection here is hyper's HTTP/2 client on this
+//! process's executor.
 
 use http::Request;
 use http::Response;
@@ -18,10 +21,10 @@
 use std::time::Duration;
 use tonic::body::Body;
 
-/// How often an idle connection is tried.
+/// Interval between HTTP/2 keep-alive pings.
 const KEEP_ALIVE: Duration = Duration::from_secs(10);
 
-/// One connection to a peer; clones share it.
+/// A connection to a peer. Clones share the connection.
 #[derive(Clone)]
 pub(crate) struct Channel {
     sender: http2::SendRequest<Body>,
@@ -36,7 +39,7 @@
             .handshake(FuturesIo::new(stream))
             .await?;
         spawn(async move {
-            // The sender's side reports what goes wrong here.
+            // Errors of the connection also reach the requests on it through the sender.
             let _ = connection.await;
         })
         .detach();
--- a/crates/pinhaven-peer/src/client.rs
+++ b/crates/pinhaven-peer/src/client.rs
@@ -1,4 +1,8 @@
-//! Calls to peers.
+//! Client side of the peer protocol.
+//!
+//! Each call goes over a pooled HTTP/2 connection to the peer and has a timeout that includes connecting.
+//! A connection that may be dead is replaced before a call: networks drop connections without notice, and
+//! a call on a dead connection uses up its whole timeout.
 
 use crate::channel::Channel;
 use crate::generated::ExchangeRequest;
@@ -17,19 +21,19 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// The largest message from a peer, in bytes.
+/// Maximum size of a message from a peer, in bytes.
 const MESSAGE_BYTES_MAX: usize = 64 * 1024 * 1024;
-/// How long a connection is used again after it last brought an answer. Networks drop connections
-/// without a word; a new one costs a round trip, a call on a dead one its whole timeout. Exchanges come
-/// several times a second, so this concerns the calls that are rare.
+/// How long a connection is reused after its last answer. A new connection costs a round trip, a call on
+/// a dead connection its whole timeout. Exchanges are made several times a second, so the limit affects
+/// rare calls only.
 const CHANNEL_TRUST: Duration = Duration::from_secs(2);
 
-/// The call that failed.
+/// The step of a peer call that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DisplayDoc)]
 pub enum PeerStep {
     /// connecting
     Connect,
-    /// exchanging what was heard
+    /// exchanging state
     Exchange,
     /// fetching a bundle
     FetchBundle,
@@ -37,48 +41,48 @@
     RelayOnce,
 }
 
-/// {step} with the entry at {peer}: {message}
+/// {step} failed (peer {peer}): {message}
 #[derive(Debug, Clone, DisplayDoc)]
 pub struct PeerError {
-    /// The call.
+    /// Step that failed.
     pub step: PeerStep,
-    /// The peer.
+    /// Address of the peer.
     pub peer: SocketAddr,
-    /// What went wrong.
+    /// Cause, as reported by the transport or the peer.
     pub message: String,
 }
 
 impl std::error::Error for PeerError {}
 
-/// Connections to peers, made when they are first needed.
+/// Pooled connections to peers, opened on first use.
 #[derive(Default)]
 pub struct PeerClients {
-    channels: Mutex<HashMap<SocketAddr, Held>>,
+    channels: Mutex<HashMap<SocketAddr, PooledChannel>>,
 }
 
-/// A connection and when it last showed that it works.
-struct Held {
+/// An open connection and the time of its last answer, or of connecting if there was no answer yet.
+struct PooledChannel {
     channel: Channel,
     answered_at: Instant,
 }
 
-impl Held {
-    fn is_trusted(&self) -> bool {
+impl PooledChannel {
+    fn is_reusable(&self) -> bool {
         !self.channel.is_closed() && self.answered_at.elapsed() < CHANNEL_TRUST
     }
 }
 
 impl PeerClients {
-    /// No connections yet.
+    /// Creates a pool without connections.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Tells a peer what was heard, and learns what it heard.
+    /// Exchanges cluster state with a peer.
     ///
     /// # Errors
     ///
-    /// [`PeerError`] when it can't be reached or does not answer in time.
+    /// [`PeerError`] when the peer can't be reached, refuses the call or does not answer in time.
     pub async fn exchange(
         &self,
         peer: SocketAddr,
@@ -91,11 +95,11 @@
         .await
     }
 
-    /// Asks a peer for a newer bundle.
+    /// Fetches a newer bundle, or a part of one, from a peer.
     ///
     /// # Errors
     ///
-    /// [`PeerError`] when it can't be reached or does not answer in time.
+    /// [`PeerError`] when the peer can't be reached, refuses the call or does not answer in time.
     pub async fn fetch_bundle(
         &self,
         peer: SocketAddr,
@@ -109,12 +113,12 @@
         .await
     }
 
-    /// Hands a once-only request to its home.
+    /// Relays a once-only request to its home.
     ///
     /// # Errors
     ///
-    /// [`PeerError`] when it can't be reached or does not answer in time. The home may still have
-    /// dispatched the request.
+    /// [`PeerError`] when the home can't be reached, refuses the call or does not answer in time. The home
+    /// may have dispatched the request all the same.
     pub async fn relay_once(
         &self,
         peer: SocketAddr,
@@ -145,25 +149,25 @@
             peer,
             message,
         };
-        let whole_call = async {
+        let connect_and_call = async {
             let channel = self
                 .channel(peer)
                 .await
                 .map_err(|message| error(PeerStep::Connect, message))?;
-            call(client_over(channel, peer))
+            call(client_with_channel(channel, peer))
                 .await
                 .map_err(|status| error(step, status.message().to_owned()))
         };
-        match within(timeout, whole_call).await {
+        match within(timeout, connect_and_call).await {
             Some(Ok(response)) => {
-                if let Some(held) = self.channels.lock().get_mut(&peer) {
-                    held.answered_at = Instant::now();
+                if let Some(pooled) = self.channels.lock().get_mut(&peer) {
+                    pooled.answered_at = Instant::now();
                 }
                 Ok(response.into_inner())
             }
             Some(Err(error)) => Err(error),
             None => {
-                // The connection may be dead without a sign of it; the next call makes a new one.
+                // The connection may be dead without an error, so the next call opens a new one.
                 self.channels.lock().remove(&peer);
                 Err(error(step, "no answer in time".to_owned()))
             }
@@ -171,29 +175,29 @@
     }
 
     async fn channel(&self, peer: SocketAddr) -> Result<Channel, String> {
-        if let Some(held) = self.channels.lock().get(&peer)
-            && held.is_trusted()
+        if let Some(pooled) = self.channels.lock().get(&peer)
+            && pooled.is_reusable()
         {
-            return Ok(held.channel.clone());
+            return Ok(pooled.channel.clone());
         }
         let channel = Channel::connect(peer)
             .await
             .map_err(|error| error.to_string())?;
-        let held = Held {
+        let pooled = PooledChannel {
             channel: channel.clone(),
             answered_at: Instant::now(),
         };
-        self.channels.lock().insert(peer, held);
+        self.channels.lock().insert(peer, pooled);
         Ok(channel)
     }
 
-    /// Closes the connections to all peers but these.
+    /// Removes the connections to all peers that are not in `peers` from the pool.
     pub fn retain_only(&self, peers: &[SocketAddr]) {
         self.channels.lock().retain(|peer, _| peers.contains(peer));
     }
 }
 
-fn client_over(channel: Channel, peer: SocketAddr) -> PeerClient<Channel> {
+fn client_with_channel(channel: Channel, peer: SocketAddr) -> PeerClient<Channel> {
     let origin = http::Uri::builder()
         .scheme("http")
         .authority(peer.to_string())
--- a/crates/pinhaven-peer/src/lib.rs
+++ b/crates/pinhaven-peer/src/lib.rs
@@ -1,8 +1,11 @@
-//! The protocol that entries speak to each other.
+//! Protocol between entries: gRPC calls and datagrams.
 //!
-//! `proto/peer.proto` describes it; the generated code is committed and made again with
-//! `cargo run -p pinhaven-peer --example generate`. Calls go over HTTP/2, one connection a peer, and
-//! each has a deadline.
+//! `proto/peer.proto` defines the calls: exchanging cluster state, fetching a bundle and relaying a
+//! once-only request. They go over HTTP/2, one connection per peer, and each has a timeout. [`News`] is the
+//! datagram that entries send each other between exchanges.
+//!
+//! The generated code is committed. Regenerate it with `cargo run -p pinhaven-peer --example generate` after
+//! each change of the protocol.
 
 mod channel;
 mod client;
--- a/crates/pinhaven-peer/src/news.rs
+++ b/crates/pinhaven-peer/src/news.rs
@@ -1,27 +1,27 @@
-//! News that entries send each other as datagrams.
+//! State updates that entries send each other as datagrams.
 //!
-//! A datagram may be lost or come late, so each says what holds now and never what has changed: the
-//! next one makes good for it. A sender's heartbeat count orders its datagrams.
+//! A datagram may be lost, late or out of order, so each carries current state and never a change: the next
+//! datagram compensates for a lost one. The sender's heartbeat counter orders its datagrams.
 
 use crate::Beat;
 use crate::Identity;
 use crate::Suspect;
 
-/// What an entry says of a target.
+/// Load and speed of one target, as one entry sees them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetNews {
     /// Short hash of the target's id.
     pub key: u32,
-    /// Requests of the sender that the target holds.
+    /// Number of the sender's requests in flight at the target.
     pub in_flight: u32,
-    /// The target's last word on how long work takes there, 10 as usual; 0 if there is none.
+    /// Slowdown that the target last reported, in tenths: 10 is normal speed, 0 means no report.
     pub slowdown_tenths: u32,
-    /// Age of that word, in milliseconds.
+    /// Age of the reported slowdown, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What an entry says of several targets, a column for each figure: seven bytes a target, half of what
-/// a message for each would take, and hundreds are told many times a second.
+/// Load and speed of several targets, one column per field. Columns take seven bytes per target, half of
+/// what one message per target takes, and entries send hundreds of targets many times a second.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct TargetColumns {
     #[prost(fixed32, repeated, tag = "1")]
@@ -35,9 +35,9 @@
 }
 
 impl TargetColumns {
-    /// These targets in columns.
+    /// Encodes `targets` as columns.
     pub fn new(targets: &[TargetNews]) -> Self {
-        let column = |figure: fn(&TargetNews) -> u32| targets.iter().map(figure).collect();
+        let column = |field: fn(&TargetNews) -> u32| targets.iter().map(field).collect();
         Self {
             keys: column(|target| target.key),
             in_flight: column(|target| target.in_flight),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The targets. Figures that a bad sender left out are missing with their targets.
+    /// Decodes the targets. Columns of different lengths, which only a faulty sender produces, are cut to the shortest.
     pub fn rows(&self) -> Vec<TargetNews> {
         let load = self.keys.iter().zip(&self.in_flight);
         let speed = self.slowdown_tenths.iter().zip(&self.age_ms);
@@ -62,53 +62,54 @@
     }
 }
 
-/// Which list of targets an entry has.
+/// Revision, digest and freshness of an entry's list of targets.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct ListNews {
-    /// The store's revision at which it was read.
+    /// Revision of the store at which the list was read.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Digest of what matters of it.
+    /// Digest of the fields of the list that matter to routing.
     #[prost(fixed64, tag = "2")]
     pub digest: u64,
-    /// Time since the store said to the sender itself that it is right, in milliseconds; missing if
-    /// it never did.
+    /// Time since the store itself last confirmed the list to the sender, in milliseconds; absent if the
+    /// store never did.
     #[prost(uint32, optional, tag = "3")]
     pub age_ms: Option<u32>,
-    /// How long the store has answered all of the sender's reads, in milliseconds; missing if it did
-    /// not answer the last, or the sender does not read.
+    /// How long the store has answered every read of the sender, in milliseconds; absent if the last read
+    /// failed or the sender does not read the store.
     #[prost(uint32, optional, tag = "4")]
     pub steady_ms: Option<u32>,
 }
 
-/// One datagram.
+/// A datagram of state updates.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct News {
-    /// Who sends, at times in full; its beat alone names it else.
+    /// Identity of the sender, in some datagrams only. In the others, only the first heartbeat identifies the
+    /// sender.
     #[prost(message, optional, tag = "1")]
     pub sender: Option<Identity>,
-    /// Heartbeats, the sender's first.
+    /// Heartbeats of known entries, the sender's first.
     #[prost(message, repeated, tag = "2")]
     pub beats: Vec<Beat>,
-    /// Entries that the receiver asked about.
+    /// Identities of entries that the receiver requested in `wanted`.
     #[prost(message, repeated, tag = "3")]
     pub identities: Vec<Identity>,
-    /// Entries of which the sender knows only the beat.
+    /// Incarnations of which the sender has only the heartbeat and requests the identity.
     #[prost(bytes = "vec", repeated, tag = "4")]
     pub wanted: Vec<Vec<u8>>,
-    /// The sender's list of targets.
+    /// State of the sender's list of targets.
     #[prost(message, optional, tag = "5")]
     pub list: Option<ListNews>,
-    /// Targets of which there is something to say.
+    /// Targets with load or speed to advertise.
     #[prost(message, optional, tag = "6")]
     pub targets: Option<TargetColumns>,
-    /// Whether the sender has no requests at any target that is not named.
+    /// Whether the sender has no requests in flight at targets that are missing from `targets`.
     #[prost(bool, tag = "7")]
     pub is_whole: bool,
-    /// Requests that were under way when targets crashed, of which there is something to say.
+    /// Requests that were in flight when targets crashed and whose state is to be advertised.
     #[prost(message, repeated, tag = "8")]
     pub suspects: Vec<Suspect>,
-    /// Short hashes of runs of targets that told the sender themselves that they leave.
+    /// Short hashes of target runs that announced directly to the sender that they are leaving.
     #[prost(fixed32, repeated, tag = "9")]
     pub leaving: Vec<u32>,
 }
--- a/crates/pinhaven-peer/src/server.rs
+++ b/crates/pinhaven-peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers to peers.
+//! Server side of the peer protocol.
 
 use crate::generated::peer_server::Peer;
 use crate::generated::peer_server::PeerServer;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use tower_service::Service as _;
 
-/// Answers one call of a peer.
+/// Handles one HTTP/2 request of a peer with `peer`'s implementation of the protocol.
 pub async fn answer_peer<P: Peer>(peer: Arc<P>, request: Request<Incoming>) -> Response<AnyBody> {
     let mut server = PeerServer::from_arc(peer);
     let Ok(response) = server.call(request).await;
--- a/crates/pinhaven-peer/tests/news.rs
+++ b/crates/pinhaven-peer/tests/news.rs
@@ -1,4 +1,4 @@
-//! News of targets as they go over the wire.
+//! Encoding of target updates in datagrams.
 
 use pinhaven_peer::TargetColumns;
 use pinhaven_peer::TargetNews;
@@ -16,11 +16,11 @@
 }
 
 #[test]
-fn news_of_targets_come_back_as_they_were_told() {
-    let told = targets(160);
-    let bytes = TargetColumns::new(&told).encode_to_vec();
-    let heard = TargetColumns::decode(&*bytes).unwrap();
-    assert_eq!(heard.rows(), told);
+fn target_updates_decode_to_what_was_encoded() {
+    let sent = targets(160);
+    let bytes = TargetColumns::new(&sent).encode_to_vec();
+    let received = TargetColumns::decode(&*bytes).unwrap();
+    assert_eq!(received.rows(), sent);
 }
 
 #[test]
@@ -31,7 +31,7 @@
 
 #[test]
 fn columns_of_different_lengths_lose_only_what_is_incomplete() {
-    // Three keys, two counts, one slowdown, three ages, as no entry of ours writes them.
+    // Three keys, two counts, one slowdown and three ages: only a faulty sender encodes such columns.
     let bytes = [
         &[0x0a, 12, 1, 0, 0, 0, 2, 0, 0, 0, 3, 0, 0, 0][..],
         &[0x12, 2, 5, 6],
@@ -39,7 +39,7 @@
         &[0x22, 3, 1, 2, 3],
     ]
     .concat();
-    let heard = TargetColumns::decode(&*bytes).unwrap().rows();
-    assert_eq!(heard.len(), 1);
-    assert_eq!((heard[0].key, heard[0].in_flight), (1, 5));
+    let received = TargetColumns::decode(&*bytes).unwrap().rows();
+    assert_eq!(received.len(), 1);
+    assert_eq!((received[0].key, received[0].in_flight), (1, 5));
 }
--- a/crates/pinhaven-peer/tests/silence.rs
+++ b/crates/pinhaven-peer/tests/silence.rs
@@ -1,4 +1,7 @@
-//! Connections to peers that fall silent while they are open.
+//! Calls to a peer after its connection went dead without being closed.
+//!
+//! A network that drops a connection sends no reset, so the next call on it waited for its whole timeout. The
+//! proxy stops forwarding on open connections, and the next call must go over a new one.
 
 use pinhaven_peer::ExchangeRequest;
 use pinhaven_peer::ExchangeResponse;
@@ -22,17 +25,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longer than a call ever takes here; one on a dead connection uses all of it.
+/// Timeout of a call. A call on a dead connection uses all of it, any other call a small part.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// A pause between two calls, as between two changes of a configuration, in milliseconds.
+/// Pause between two calls, in milliseconds; longer than a connection is reused without an answer.
 const PAUSE_MS: u64 = 2_100;
 const HEAD: &[u8] = b"a head";
 
-/// A peer that has one bundle.
-struct Holder;
+/// A peer that serves the head of one bundle.
+struct BundlePeer;
 
 #[async_trait]
-impl Peer for Holder {
+impl Peer for BundlePeer {
     async fn exchange(
         &self,
         _request: Request<ExchangeRequest>,
@@ -59,7 +62,7 @@
     }
 }
 
-fn serve_holder() -> std::net::SocketAddr {
+fn serve_bundle_peer() -> std::net::SocketAddr {
     let settings = HttpServerSettings {
         idle_ms: 60_000,
         connections_max: 10,
@@ -67,10 +70,10 @@
     };
     let server = HttpServer::bind(([127, 0, 0, 1], 0).into(), settings).unwrap();
     let address = server.local_address();
-    let holder = Arc::new(Holder);
+    let bundle_peer = Arc::new(BundlePeer);
     spawn(async move {
         server
-            .serve(move |request| answer_peer(Arc::clone(&holder), request))
+            .serve(move |request| answer_peer(Arc::clone(&bundle_peer), request))
             .await;
     })
     .detach();
@@ -78,9 +81,9 @@
 }
 
 #[test]
-fn a_rare_call_does_not_wait_on_a_connection_that_fell_silent_since_the_last_one() {
+fn a_rare_call_does_not_wait_on_a_connection_that_fell_silent_since_the_last_call() {
     block_on(async {
-        let proxy = FaultProxy::start(serve_holder()).unwrap();
+        let proxy = FaultProxy::start(serve_bundle_peer()).unwrap();
         let peers = PeerClients::new();
         let fetch = || peers.fetch_bundle(proxy.address, TIMEOUT, FetchBundleRequest::default());
         assert_eq!(fetch().await.unwrap().head, HEAD);
