--- a/crates/pinhaven-runtime/src/client.rs
+++ b/crates/pinhaven-runtime/src/client.rs
@@ -1,7 +1,8 @@
-//! HTTP clients.
+//! HTTP/1.1 clients.
 //!
-//! [`HttpClient`] is for control traffic: small bodies, held whole, each call with a deadline. The
-//! path of a caller's request uses [`http1_sender`] and keeps its own connections.
+//! [`HttpClient`] is for control traffic to one peer: it buffers whole bodies, pools idle connections and limits
+//! the time of each call. Callers' requests, whose bodies are streamed, use [`http1_sender`] and a connection
+//! pool outside this crate.
 
 use crate::AnyBody;
 use crate::spawn;
@@ -28,17 +29,17 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// The largest answer to a control call, in bytes.
+/// Maximum size of the answer to a control call, in bytes.
 const CONTROL_ANSWER_BYTES_MAX: usize = 64 * 1024 * 1024;
-/// How long nothing may come on a connection of a client with keep-alive before the system asks its peer
-/// whether it is there, and the time between two such questions. Each costs a packet either way.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
-/// Such questions without an answer after which a connection counts as broken.
+/// Idle time of a connection with TCP keep-alive before the operating system sends a probe, and the interval
+/// between probes. Each probe costs a packet in each direction.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered keep-alive probes after which a connection counts as broken.
 const KEEP_ALIVE_PROBES_MAX: u32 = 2;
-/// Idle connections that a client keeps unless told otherwise.
+/// Default maximum number of idle connections of a client.
 const IDLE_CONNECTIONS_DEFAULT: usize = 4;
 
-/// The step of a call at which it failed.
+/// The step at which a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DisplayDoc)]
 pub enum CallStep {
     /// connecting
@@ -51,67 +52,70 @@
     Deadline,
 }
 
-/// A control call that got no answer: {step} at {peer}: {message}
+/// control call failed while {step} (peer {peer}): {message}
 #[derive(Debug, DisplayDoc)]
 pub struct CallError {
-    /// Where it failed.
+    /// Step that failed.
     pub step: CallStep,
-    /// Who was called.
+    /// Address of the peer.
     pub peer: SocketAddr,
-    /// What the system or the library said.
+    /// Cause, as reported by the operating system or the HTTP library.
     pub message: String,
 }
 
 impl std::error::Error for CallError {}
 
 impl CallError {
-    /// Whether the peer can't have seen the request.
+    /// Whether the request was certainly not sent to the peer.
     pub fn is_not_sent(&self) -> bool {
         self.step == CallStep::Connect
     }
 }
 
-/// Connects a stream with `TCP_NODELAY`.
+/// Opens a TCP connection with `TCP_NODELAY`.
 ///
 /// # Errors
 ///
-/// The system's error when the peer can't be reached.
+/// The operating system's error when the peer can't be reached.
 pub async fn connect_stream(peer: SocketAddr) -> std::io::Result<Async<TcpStream>> {
     let stream = Async::<TcpStream>::connect(peer).await?;
     stream.get_ref().set_nodelay(true)?;
     Ok(stream)
 }
 
-/// Connects a stream that breaks within 3 s when its peer is no longer there, also while nothing is sent.
+/// Opens a TCP connection with `TCP_NODELAY` and keep-alive, which fails within 3 s after its peer became
+/// unreachable, even if nothing is sent.
 ///
 /// # Errors
 ///
-/// The system's error when the peer can't be reached.
+/// The operating system's error when the peer can't be reached.
 pub async fn connect_with_keep_alive(peer: SocketAddr) -> std::io::Result<Async<TcpStream>> {
     let stream = connect_stream(peer).await?;
     let keep_alive = TcpKeepalive::new()
-        .with_time(KEEP_ALIVE)
-        .with_interval(KEEP_ALIVE)
+        .with_time(KEEP_ALIVE_INTERVAL)
+        .with_interval(KEEP_ALIVE_INTERVAL)
         .with_retries(KEEP_ALIVE_PROBES_MAX);
     SockRef::from(stream.get_ref()).set_tcp_keepalive(&keep_alive)?;
     Ok(stream)
 }
 
-/// Connects to a peer that speaks HTTP/1.1.
+/// Opens an HTTP/1.1 connection to a peer.
 ///
 /// # Errors
 ///
-/// The system's or hyper's error when the peer can't be reached.
+/// The operating system's or hyper's error when the peer can't be reached.
 pub async fn http1_sender<B>(peer: SocketAddr) -> Result<http1::SendRequest<B>, crate::BoxError>
 where
     B: hyper::body::Body + Send + 'static,
     B::Data: Send,
     B::Error: Into<crate::BoxError>,
 {
-    http1_over(connect_stream(peer).await?).await
+    http1_handshake(connect_stream(peer).await?).await
 }
 
-async fn http1_over<B>(stream: Async<TcpStream>) -> Result<http1::SendRequest<B>, crate::BoxError>
+async fn http1_handshake<B>(
+    stream: Async<TcpStream>,
+) -> Result<http1::SendRequest<B>, crate::BoxError>
 where
     B: hyper::body::Body + Send + 'static,
     B::Data: Send,
@@ -119,62 +123,63 @@
 {
     let (sender, connection) = http1::handshake(FuturesIo::new(stream)).await?;
     spawn(async move {
-        // The sender's side reports what goes wrong here.
+        // Errors of the connection also reach the requests on it through the sender.
         let _ = connection.await;
     })
     .detach();
     Ok(sender)
 }
 
-/// How long an answer took to come, from its first byte to its last; a client adds it to the extensions of each answer.
+/// Time that the parts of a call took. [`HttpClient`] adds it to the extensions of each answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerTimes {
-    /// Until its first byte came.
+    /// From the start of the call, connecting included, until the head of the answer arrived.
     pub wait: Duration,
-    /// From then until its last.
+    /// From the arrival of the head until the end of the body.
     pub transfer: Duration,
 }
 
-/// A client for small control calls to one peer.
+/// Client for control calls to one peer.
 pub struct HttpClient {
     peer: SocketAddr,
-    /// How long an answer may take to begin.
+    /// Maximum time until the head of an answer, connecting included.
     timeout: Duration,
-    /// How long each further piece of it may take.
-    piece_timeout: Duration,
-    whole_timeout: Duration,
+    /// Maximum time between two chunks of a body.
+    chunk_timeout: Duration,
+    /// Maximum time of a whole call.
+    total_timeout: Duration,
     idle_max: usize,
     is_kept_alive: bool,
     idle: Mutex<Vec<http1::SendRequest<AnyBody>>>,
-    /// Answers that have begun and go on.
+    /// Number of answers whose bodies are being received.
     receiving: AtomicUsize,
 }
 
-/// An answer that has begun, until it is dropped.
-struct Receiving<'client>(&'client AtomicUsize);
+/// Counts an answer as being received until the guard is dropped.
+struct ReceivingGuard<'client>(&'client AtomicUsize);
 
-impl<'client> Receiving<'client> {
+impl<'client> ReceivingGuard<'client> {
     fn new(count: &'client AtomicUsize) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Receiving<'_> {
+impl Drop for ReceivingGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl HttpClient {
-    /// A client of `peer` whose calls take at most `timeout_ms`.
+    /// Creates a client of `peer` whose calls take at most `timeout_ms`.
     pub fn new(peer: SocketAddr, timeout_ms: u64) -> Self {
         let timeout = Duration::from_millis(timeout_ms);
         Self {
             peer,
             timeout,
-            piece_timeout: timeout,
-            whole_timeout: timeout,
+            chunk_timeout: timeout,
+            total_timeout: timeout,
             idle_max: IDLE_CONNECTIONS_DEFAULT,
             is_kept_alive: false,
             idle: Mutex::new(Vec::new()),
@@ -182,53 +187,54 @@
         }
     }
 
-    /// Lets an answer that has begun go on while its pieces come at most `piece_ms` apart, for at most `whole_ms` in all.
+    /// Limits the time between two chunks of a body to `chunk_ms` and the time of a whole call to `total_ms`. The
+    /// timeout of [`HttpClient::new`] then applies only until the head of the answer.
     ///
-    /// A large answer on a small link takes long as a whole, and giving it up while it still comes only asks for
-    /// the same bytes again: with 1.5 s for all of it, a configuration of 4,200 routes never came over a
-    /// link of 300 kB a second; now it comes in under 4 s (stand-in store behind a throttled link).
-    pub fn with_large_answers(mut self, piece_ms: u64, whole_ms: u64) -> Self {
-        self.piece_timeout = Duration::from_millis(piece_ms);
-        self.whole_timeout = Duration::from_millis(whole_ms);
+    /// A large answer takes long on a slow link, and a client that gives up a transfer in progress only requests
+    /// the same bytes again: with 1.5 s for the whole call, a configuration of 4,200 routes never arrived over a
+    /// link of 300 kB/s.
+    pub fn with_large_answers(mut self, chunk_ms: u64, total_ms: u64) -> Self {
+        self.chunk_timeout = Duration::from_millis(chunk_ms);
+        self.total_timeout = Duration::from_millis(total_ms);
         self
     }
 
-    /// Keeps up to `idle_max` idle connections.
+    /// Sets the maximum number of idle connections.
     pub fn with_idle_connections(mut self, idle_max: usize) -> Self {
         self.idle_max = idle_max;
         self
     }
 
-    /// Notices within 3 s that a connection is dead, for calls whose answers may take long.
+    /// Enables TCP keep-alive, which detects a dead connection within 3 s. For calls whose answers may take long.
     pub fn with_keep_alive(mut self) -> Self {
         self.is_kept_alive = true;
         self
     }
 
-    /// The peer.
+    /// Address of the peer.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Whether an answer has begun and goes on.
+    /// Whether the body of an answer is being received.
     pub fn is_receiving(&self) -> bool {
         self.receiving.load(Ordering::Relaxed) > 0
     }
 
-    /// Makes one call.
+    /// Sends a request and receives its whole answer.
     ///
     /// # Errors
     ///
-    /// [`CallError`] when no whole answer came; [`CallError::is_not_sent`] tells whether the peer can
-    /// have seen the request.
+    /// [`CallError`] when no complete answer was received. Unless [`CallError::is_not_sent`], the peer may have
+    /// handled the request.
     pub async fn call(&self, request: Request<Bytes>) -> Result<Response<Bytes>, CallError> {
-        within(self.whole_timeout, self.call_while_answered(request))
+        within(self.total_timeout, self.call_without_total_timeout(request))
             .await
-            .unwrap_or_else(|| Err(self.late("the answer is too slow")))
+            .unwrap_or_else(|| Err(self.deadline_error("the answer took too long in total")))
     }
 
-    /// Makes a call that may take as long as its answer goes on.
-    async fn call_while_answered(
+    /// Makes a call with the timeouts until the head and between chunks, but without the total timeout.
+    async fn call_without_total_timeout(
         &self,
         request: Request<Bytes>,
     ) -> Result<Response<Bytes>, CallError> {
@@ -240,41 +246,43 @@
                 .entry(http::header::HOST)
                 .or_insert(host);
         }
-        let asked_at = Instant::now();
+        let called_at = Instant::now();
         let answered = within(self.timeout, self.send(request)).await;
-        let (sender, response) = answered.unwrap_or_else(|| Err(self.late("no answer in time")))?;
-        let wait = asked_at.elapsed();
+        let (sender, response) =
+            answered.unwrap_or_else(|| Err(self.deadline_error("no answer in time")))?;
+        let wait = called_at.elapsed();
         let (mut head, body) = response.into_parts();
         let body = self.receive(body).await?;
-        let transfer = asked_at.elapsed() - wait;
+        let transfer = called_at.elapsed() - wait;
         head.extensions.insert(AnswerTimes { wait, transfer });
-        self.keep(sender);
+        self.return_idle(sender);
         Ok(Response::from_parts(head, body))
     }
 
-    /// Takes a body in while its pieces keep coming.
+    /// Receives a whole body, with a timeout for each chunk.
     async fn receive(&self, body: Incoming) -> Result<Bytes, CallError> {
-        let _receiving = Receiving::new(&self.receiving);
+        let _receiving = ReceivingGuard::new(&self.receiving);
         let mut body = Limited::new(body, CONTROL_ANSWER_BYTES_MAX);
         let mut whole = BytesMut::new();
         loop {
-            let frame = within(self.piece_timeout, body.frame()).await;
-            let Some(frame) = frame.ok_or_else(|| self.late("the answer stopped"))? else {
+            let frame = within(self.chunk_timeout, body.frame()).await;
+            let Some(frame) = frame.ok_or_else(|| self.deadline_error("the answer stalled"))?
+            else {
                 return Ok(whole.freeze());
             };
             let frame = frame.map_err(|error| self.error(CallStep::Receive, error))?;
-            if let Ok(piece) = frame.into_data() {
-                whole.extend_from_slice(&piece);
+            if let Ok(chunk) = frame.into_data() {
+                whole.extend_from_slice(&chunk);
             }
         }
     }
 
-    fn late(&self, message: &str) -> CallError {
+    fn deadline_error(&self, message: &str) -> CallError {
         self.error(CallStep::Deadline, message)
     }
 
-    /// Sends over a connection that is open. One that closed before anything was written to it gives
-    /// the request back, and another is taken.
+    /// Sends a request over an idle or a new connection. A connection that closed before anything was written
+    /// returns the request unsent, which is then sent over another connection.
     async fn send(
         &self,
         mut request: Request<AnyBody>,
@@ -303,7 +311,7 @@
             connect_stream(self.peer).await
         };
         let stream = connected.map_err(|error| self.error(CallStep::Connect, error))?;
-        let sender = http1_over(stream).await;
+        let sender = http1_handshake(stream).await;
         sender.map_err(|error| self.error(CallStep::Connect, error))
     }
 
@@ -311,7 +319,7 @@
         self.idle.lock().ok()?.pop()
     }
 
-    fn keep(&self, sender: http1::SendRequest<AnyBody>) {
+    fn return_idle(&self, sender: http1::SendRequest<AnyBody>) {
         if let Ok(mut idle) = self.idle.lock()
             && idle.len() < self.idle_max
         {
--- a/crates/pinhaven-runtime/src/executor.rs
+++ b/crates/pinhaven-runtime/src/executor.rs
@@ -1,4 +1,4 @@
-//! The process's one executor.
+//! The task executor of the process.
 
 use async_executor::Executor;
 use async_executor::Task;
@@ -7,20 +7,21 @@
 
 static EXECUTOR: Executor<'static> = Executor::new();
 
-/// Spawns a task on the process's executor.
+/// Spawns a task on the executor of the process.
 pub fn spawn<T: Send + 'static>(future: impl Future<Output = T> + Send + 'static) -> Task<T> {
     EXECUTOR.spawn(future)
 }
 
-/// Runs a future on this thread while also running tasks.
+/// Blocks the current thread on a future and runs spawned tasks meanwhile.
 pub fn block_on<T>(future: impl Future<Output = T>) -> T {
     async_io::block_on(EXECUTOR.run(future))
 }
 
-/// Runs a future on this thread with `thread_count` threads in all running tasks.
+/// Blocks the current thread on a future and runs spawned tasks on `thread_count` threads in total, the current one
+/// included.
 pub fn run_with_threads<T>(thread_count: usize, future: impl Future<Output = T>) -> T {
     let (stop_sender, stop_receiver) = async_channel::bounded::<()>(1);
-    // The sender moves into the closure, so that a panic there also ends the other threads.
+    // The closure owns the sender: a panic in the closure drops the sender, which stops the other threads.
     std::thread::scope(move |scope| {
         for _ in 1..thread_count {
             let stop = stop_receiver.clone();
@@ -36,12 +37,12 @@
     })
 }
 
-/// Waits for a number of milliseconds.
+/// Sleeps for `time_ms` milliseconds.
 pub async fn sleep_ms(time_ms: u64) {
     async_io::Timer::after(Duration::from_millis(time_ms)).await;
 }
 
-/// Waits for a future for at most `timeout`; `None` when the time is up.
+/// Runs a future with a timeout. Returns `None` if the timeout expires first.
 pub async fn within<T>(timeout: Duration, future: impl Future<Output = T>) -> Option<T> {
     futures_lite::future::or(async { Some(future.await) }, async {
         async_io::Timer::after(timeout).await;
@@ -50,7 +51,7 @@
     .await
 }
 
-/// Lets hyper spawn on the process's executor.
+/// Executor for hyper that spawns on the executor of the process.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HyperExecutor;
 
--- a/crates/pinhaven-runtime/src/lib.rs
+++ b/crates/pinhaven-runtime/src/lib.rs
@@ -1,7 +1,8 @@
-//! Executor threads and HTTP plumbing over async-io.
+//! Task executor, HTTP server and HTTP clients over async-io.
 //!
-//! One executor serves the whole process on several threads. The servers and clients are hyper's;
-//! this crate only joins them to async-io's sockets and timers.
+//! The process has one executor, which runs on several threads. HTTP/1.1 and HTTP/2 are hyper's; this crate
+//! connects hyper to async-io's sockets and timers, limits what a connection may use, and stops a server
+//! without resetting connections that wait to be accepted.
 
 mod client;
 mod executor;
@@ -25,13 +26,13 @@
 pub use server::HttpServer;
 pub use server::HttpServerSettings;
 
-/// An error of any kind, as bodies carry it.
+/// Boxed error of any type.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A body of any kind.
+/// Boxed HTTP body of any type.
 pub type AnyBody = http_body_util::combinators::UnsyncBoxBody<bytes::Bytes, BoxError>;
 
-/// A body that is at hand whole.
+/// Creates a body from bytes that are complete in memory.
 pub fn whole_body(bytes: impl Into<bytes::Bytes>) -> AnyBody {
     use http_body_util::BodyExt as _;
     http_body_util::Full::new(bytes.into())
--- a/crates/pinhaven-runtime/src/server.rs
+++ b/crates/pinhaven-runtime/src/server.rs
@@ -1,4 +1,8 @@
-//! An HTTP/1.1 and HTTP/2 server.
+//! HTTP/1.1 and HTTP/2 server.
+//!
+//! A server accepts up to a maximum number of connections and closes those that are idle or slow to send a request
+//! head. When it stops, it still accepts the connections in the listener's backlog, because closing the listener
+//! would reset them, and answers the requests that have begun.
 
 use crate::AnyBody;
 use crate::HyperExecutor;
@@ -25,40 +29,39 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// The largest request head, in bytes. Deployments allow heads of 16 KiB; the rest is for what hyper
-/// keeps beside them.
+/// Maximum size of hyper's read buffer and of an HTTP/2 header list, in bytes. Deployments allow request heads of
+/// 16 KiB; the rest is for data that hyper buffers in addition.
 const HEAD_BYTES_MAX: usize = 20 * 1024;
-/// The most header fields in a request.
+/// Maximum number of header fields in an HTTP/1.1 request.
 const HEADERS_MAX: usize = 100;
-/// The most HTTP/2 requests at a time on one connection.
+/// Maximum number of concurrent HTTP/2 requests on one connection.
 const STREAMS_MAX: u32 = 1_000;
-/// How long a new connection may still bring its first request once the server stops, in
-/// milliseconds.
-const LAST_REQUEST_MS: u64 = 200;
-/// Connections that are still taken once the server stops, at the most: what the system keeps for a server that has not
-/// come to them.
+/// How long a connection without a request may still send its first one after the server stops, in milliseconds.
+const FIRST_REQUEST_GRACE_MS: u64 = 200;
+/// Maximum number of connections accepted from the listener's backlog after the server stops. The operating system
+/// queues no more than that.
 const LAST_CONNECTIONS_MAX: usize = 4_096;
-/// How long the server waits after a failed accept, in milliseconds.
+/// Delay after a failed accept, in milliseconds.
 const ACCEPT_RETRY_MS: u64 = 10;
 
-/// How a server treats connections.
+/// Limits and protocols of a server's connections.
 #[derive(Debug, Clone, Copy)]
 pub struct HttpServerSettings {
-    /// How long a connection may be idle or take for a head, in milliseconds.
+    /// Maximum time that a connection may be idle or take to send a request head, in milliseconds.
     pub idle_ms: u64,
-    /// The most connections at a time.
+    /// Maximum number of open connections; further ones are closed at once.
     pub connections_max: usize,
-    /// Whether connections may speak HTTP/2. Telling it from HTTP/1.1 costs each connection memory.
+    /// Whether HTTP/2 is served beside HTTP/1.1. Detecting the protocol costs memory on each connection.
     pub allows_http2: bool,
 }
 
-/// Where a request's connection comes from; a server adds it to the extensions of each request.
+/// Remote address of a request's connection. [`HttpServer`] adds it to the extensions of each request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerAddress(pub SocketAddr);
 
-/// A listening server; it serves while [`HttpServer::serve`] runs.
+/// HTTP server with a listening socket. Requests are answered while [`HttpServer::serve`] runs.
 pub struct HttpServer {
-    /// The listening socket; it is closed when the server stops.
+    /// Listening socket, until [`HttpServer::serve`] takes it.
     listener: Mutex<Option<Async<TcpListener>>>,
     address: SocketAddr,
     settings: HttpServerSettings,
@@ -66,16 +69,15 @@
     stop_sender: async_channel::Sender<()>,
     stop_receiver: async_channel::Receiver<()>,
     open: Arc<AtomicUsize>,
-    /// Whether it may still take a connection.
     is_accepting: AtomicBool,
 }
 
 impl HttpServer {
-    /// Listens at an address.
+    /// Creates a server that listens at `address`.
     ///
     /// # Errors
     ///
-    /// The system's error when the address can't be had.
+    /// The operating system's error when the address can't be bound.
     pub fn bind(address: SocketAddr, settings: HttpServerSettings) -> std::io::Result<Self> {
         let (stop_sender, stop_receiver) = async_channel::bounded(1);
         let listener = Async::<TcpListener>::bind(address)?;
@@ -91,57 +93,57 @@
         })
     }
 
-    /// The address the server listens at, with the port that the system picked.
+    /// Address of the listening socket, with the port chosen by the operating system if port 0 was requested.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How long new connections may be idle or take for a head, in milliseconds; it may be changed at
-    /// any time.
+    /// Shared value of [`HttpServerSettings::idle_ms`], which may be changed at any time and applies to new
+    /// connections.
     pub fn idle_ms(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.idle_ms)
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Whether it may still take a connection: one may wait for it also after the server was told to close, until it
-    /// has come to that.
+    /// Whether the server may still accept a connection. After [`HttpServer::close_gracefully`] this stays true until
+    /// [`HttpServer::serve`] has accepted the connections in the backlog.
     pub fn is_accepting(&self) -> bool {
         self.is_accepting.load(Ordering::Acquire)
     }
 
-    /// Takes no more connections, closes idle ones and takes no further requests on the others.
+    /// Stops accepting connections, closes idle connections and accepts no further requests on the others.
     pub fn close_gracefully(&self) {
         self.stop_sender.close();
     }
 
-    /// Accepts connections and answers requests with `handler`, until the server is told to close.
-    /// Connections that are open then are served on. Only the first call serves.
+    /// Accepts connections and answers requests with `handler` until [`HttpServer::close_gracefully`]. Requests in
+    /// progress are then completed in the background. Returns at once if the server has been served before.
     pub async fn serve<H, F>(&self, handler: H)
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = Response<AnyBody>> + Send + 'static,
     {
-        let listener = self.listener.lock().ok().and_then(|mut held| held.take());
+        let listener = self.listener.lock().ok().and_then(|mut slot| slot.take());
         let Some(listener) = listener else {
             return;
         };
         while let Some(accepted) = self.accept(&listener).await {
             match accepted {
-                Ok((stream, peer)) => self.begin(stream, peer, &handler),
+                Ok((stream, peer)) => self.start_connection(stream, peer, &handler),
                 Err(_) => sleep_ms(ACCEPT_RETRY_MS).await,
             }
         }
-        self.take_waiting(&listener, &handler);
+        self.accept_backlog(&listener, &handler);
         self.is_accepting.store(false, Ordering::Release);
     }
 
-    /// Takes the connections that wait. Closing the listener would reset them, with the requests that they have
-    /// brought.
-    fn take_waiting<H, F>(&self, listener: &Async<TcpListener>, handler: &H)
+    /// Accepts the connections in the listener's backlog. Closing the listener would reset them, and with them the
+    /// requests that their callers have sent already.
+    fn accept_backlog<H, F>(&self, listener: &Async<TcpListener>, handler: &H)
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = Response<AnyBody>> + Send + 'static,
@@ -151,13 +153,13 @@
                 return;
             };
             if let Ok(stream) = Async::new(stream) {
-                self.begin(stream, peer, handler);
+                self.start_connection(stream, peer, handler);
             }
         }
     }
 
-    /// Begins to serve a connection, if there is room for one more.
-    fn begin<H, F>(&self, stream: Async<TcpStream>, peer: SocketAddr, handler: &H)
+    /// Starts to serve a connection, or closes it if the maximum number of connections is open.
+    fn start_connection<H, F>(&self, stream: Async<TcpStream>, peer: SocketAddr, handler: &H)
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = Response<AnyBody>> + Send + 'static,
@@ -180,7 +182,7 @@
         .detach();
     }
 
-    /// The next connection; `None` once the server is told to close.
+    /// Waits for the next connection. Returns `None` after [`HttpServer::close_gracefully`].
     async fn accept(
         &self,
         listener: &Async<TcpListener>,
@@ -207,25 +209,25 @@
     if stream.get_ref().set_nodelay(true).is_err() {
         return;
     }
-    let has_asked = Arc::new(AtomicBool::new(false));
-    let asks = Arc::clone(&has_asked);
+    let has_request = Arc::new(AtomicBool::new(false));
+    let received = Arc::clone(&has_request);
     let service = service_fn(move |mut request: Request<Incoming>| {
-        asks.store(true, Ordering::Relaxed);
+        received.store(true, Ordering::Relaxed);
         request.extensions_mut().insert(caller);
-        // A connection keeps room for an answer that is being made also while it rests; boxed, that is a
-        // pointer and not the many kilobytes of a proxied request.
+        // hyper reserves the size of this future in each connection, also while the connection is idle. The boxed
+        // future takes a pointer instead of the many kilobytes of a proxied request.
         let answer = Box::pin(handler(request));
         async move { Ok::<_, Infallible>(answer.await) }
     });
-    // Each kind is boxed, so that a connection takes no more memory than its own kind needs.
+    // Each future is boxed, so that a connection takes only the memory that its own protocol needs.
     if settings.allows_http2 {
-        let builder = any_version(settings);
+        let builder = http1_or_http2(settings);
         let connection = builder.serve_connection(FuturesIo::new(stream), service);
-        Box::pin(drive(connection, settings, stop, &has_asked)).await;
+        Box::pin(drive(connection, settings, stop, &has_request)).await;
     } else {
         let builder = http1_only(settings);
         let connection = builder.serve_connection(FuturesIo::new(stream), service);
-        Box::pin(drive(connection, settings, stop, &has_asked)).await;
+        Box::pin(drive(connection, settings, stop, &has_request)).await;
     }
 }
 
@@ -239,7 +241,7 @@
     builder
 }
 
-fn any_version(
+fn http1_or_http2(
     settings: HttpServerSettings,
 ) -> hyper_util::server::conn::auto::Builder<HyperExecutor> {
     let idle = Duration::from_millis(settings.idle_ms);
@@ -259,9 +261,9 @@
     builder
 }
 
-/// A connection of either kind.
+/// A connection that can be shut down gracefully, HTTP/1.1 only or of either protocol.
 trait Connection: Future {
-    /// Answers the request that is being read, and no other.
+    /// Completes the requests in progress and accepts no others.
     fn shut_down(self: std::pin::Pin<&mut Self>);
 }
 
@@ -292,50 +294,50 @@
     connection: impl Connection,
     settings: HttpServerSettings,
     stop: async_channel::Receiver<()>,
-    has_asked: &AtomicBool,
+    has_request: &AtomicBool,
 ) {
     let mut connection = std::pin::pin!(connection);
     let served = async {
-        // An error here is the caller's connection breaking; there is nobody left to tell.
+        // An error means that the caller's connection broke, so it can't be reported to the caller.
         let _ = connection.as_mut().await;
-        End::Closed
+        EndReason::Closed
     };
     let stopped = async {
         let _ = stop.recv().await;
-        End::Stopped
+        EndReason::Stopped
     };
-    // Before the first request hyper still waits to learn the protocol and keeps no time.
-    let silent = async {
+    // hyper has no timeout while it waits for the first bytes of a connection to detect the protocol.
+    let no_request = async {
         sleep_ms(settings.idle_ms).await;
-        if has_asked.load(Ordering::Relaxed) {
+        if has_request.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
-        End::Silent
+        EndReason::NoRequest
     };
-    let ended = or(served, or(stopped, silent)).await;
-    if ended != End::Stopped {
+    let reason = or(served, or(stopped, no_request)).await;
+    if reason != EndReason::Stopped {
         return;
     }
-    if !has_asked.load(Ordering::Relaxed) {
-        // Its first request may be on its way.
+    if !has_request.load(Ordering::Relaxed) {
+        // The first request may be in transit.
         let served = async {
             let _ = connection.as_mut().await;
         };
-        or(served, sleep_ms(LAST_REQUEST_MS)).await;
+        or(served, sleep_ms(FIRST_REQUEST_GRACE_MS)).await;
     }
-    if has_asked.load(Ordering::Relaxed) {
+    if has_request.load(Ordering::Relaxed) {
         connection.as_mut().shut_down();
         let _ = connection.await;
     }
 }
 
-/// Why a connection is no longer served as usual.
+/// Why a connection is no longer served normally.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
-    /// It was closed.
+enum EndReason {
+    /// The connection was closed.
     Closed,
-    /// The server takes no more requests.
+    /// The server is stopping.
     Stopped,
-    /// It brought no request in time.
-    Silent,
+    /// The connection sent no request in time.
+    NoRequest,
 }
--- a/crates/pinhaven-runtime/tests/server.rs
+++ b/crates/pinhaven-runtime/tests/server.rs
@@ -1,4 +1,7 @@
-//! What a server holds for its connections.
+//! Memory of idle connections.
+//!
+//! hyper reserves the size of the handler's future in each connection. If the server doesn't box the future, each idle
+//! connection takes the memory of a request that is being answered.
 
 use http::Request;
 use http::Response;
@@ -15,13 +18,13 @@
 use std::net::TcpStream;
 
 const CONNECTIONS: usize = 200;
-/// What a request needs while it is answered, in bytes.
+/// Memory that the handler of a request uses, in bytes.
 const REQUEST_BYTES: usize = 64 * 1024;
-/// The library's buffers take some 18 KB a connection.
-const RESTING_BYTES_MOST: usize = 30 * 1024;
+/// Maximum memory of an idle connection, in bytes. hyper's buffers take about 18 KB of it.
+const IDLE_BYTES_MAX: usize = 30 * 1024;
 const PAGE_BYTES: usize = 4_096;
 
-/// Memory of this process that is in use, in bytes.
+/// Resident memory of this process, in bytes.
 fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap();
     let pages: usize = text.split(' ').nth(1).unwrap().parse().unwrap();
@@ -29,14 +32,14 @@
 }
 
 async fn answer(_request: Request<Incoming>) -> Response<AnyBody> {
-    let mut room = [1_u8; REQUEST_BYTES];
+    let mut buffer = [1_u8; REQUEST_BYTES];
     sleep_ms(1).await;
-    room[7] = 2;
-    let sum: usize = room.iter().map(|byte| usize::from(*byte)).sum();
+    buffer[7] = 2;
+    let sum: usize = buffer.iter().map(|byte| usize::from(*byte)).sum();
     Response::new(whole_body(sum.to_string()))
 }
 
-fn ask(stream: &mut TcpStream) {
+fn send_request(stream: &mut TcpStream) {
     stream
         .write_all(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         .unwrap();
@@ -49,23 +52,23 @@
     );
 }
 
-/// Opens connections, asks once on each and returns what they take while they rest, in bytes each.
-fn resting_bytes(address: SocketAddr) -> usize {
-    // What the process takes once for all is there after the first.
+/// Opens connections, sends one request on each and returns the memory of an idle connection, in bytes.
+fn idle_connection_bytes(address: SocketAddr) -> usize {
+    // The first request makes the process allocate its shared memory before the measurement.
     let mut first = TcpStream::connect(address).unwrap();
-    ask(&mut first);
+    send_request(&mut first);
     let before = resident_bytes();
-    let mut held = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..CONNECTIONS {
         let mut stream = TcpStream::connect(address).unwrap();
-        ask(&mut stream);
-        held.push(stream);
+        send_request(&mut stream);
+        connections.push(stream);
     }
     resident_bytes().saturating_sub(before) / CONNECTIONS
 }
 
 #[test]
-fn a_connection_that_rests_holds_no_room_for_requests() {
+fn an_idle_connection_reserves_no_memory_for_requests() {
     let settings = HttpServerSettings {
         idle_ms: 60_000,
         connections_max: CONNECTIONS * 2,
@@ -74,6 +77,6 @@
     let server = HttpServer::bind(([127, 0, 0, 1], 0).into(), settings).unwrap();
     let address = server.local_address();
     std::thread::spawn(move || block_on(server.serve(answer)));
-    let bytes = resting_bytes(address);
-    assert!(bytes < RESTING_BYTES_MOST, "{bytes} bytes a connection");
+    let bytes = idle_connection_bytes(address);
+    assert!(bytes < IDLE_BYTES_MAX, "{bytes} bytes per connection");
 }
--- a/crates/pinhaven-runtime/tests/server_stop.rs
+++ b/crates/pinhaven-runtime/tests/server_stop.rs
@@ -1,4 +1,4 @@
-//! What becomes of connections when a server stops.
+//! Connections in the listener's backlog when a server stops.
 
 use http::Request;
 use http::Response;
@@ -19,8 +19,8 @@
     Response::new(whole_body("served"))
 }
 
-/// The system takes connections for a server that has not come to them yet. When the server closed its listener they
-/// were reset, with whatever their callers had sent.
+/// The operating system completes connections before the server accepts them. A server that closed its listener at
+/// once reset those connections and lost the requests that their callers had sent.
 #[test]
 fn connections_that_wait_when_a_server_stops_are_served() {
     let settings = HttpServerSettings {
@@ -39,7 +39,7 @@
             .unwrap();
     }
     server.close_gracefully();
-    // Who waits for the server to be done must not look at its open connections alone.
+    // The backlog isn't counted as open, so a caller that waits for the end must check is_accepting as well.
     assert_eq!(server.open_connections(), 0);
     assert!(server.is_accepting());
     std::thread::spawn(move || {
