--- a/crates/pinhaven-platform/src/discovery.rs
+++ b/crates/pinhaven-platform/src/discovery.rs
@@ -1,7 +1,6 @@
-//! Where an entry learns its configuration, its targets and its peers, when a store holds all three.
+//! Interface to a store that holds the configuration, the targets and the peers of an entry.
 //!
-//! The implementation translates the store's rows; what to do with what it finds is decided by the
-//! entry.
+//! An implementation reads, writes and translates rows of the store. The entry decides what to do with the results.
 
 use crate::ForeignRow;
 use crate::PlatformError;
@@ -12,63 +11,63 @@
 use pinhaven_runtime::AnswerTimes;
 use std::collections::BTreeMap;
 
-/// A place in the store's history of changes.
+/// Position in the store's feed of changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FeedPosition(pub u64);
 
-/// What a look at the configuration brought.
+/// Result of a read or a wait for the configuration.
 #[derive(Debug)]
 pub struct ConfigurationUpdate {
-    /// The configuration, if there is one that was not known at the place looked from.
+    /// Configuration, if there is one that is newer than the position of the call.
     pub bundle: Option<Bundle>,
-    /// Where to look from next time.
+    /// Position for the next call.
     pub position: FeedPosition,
-    /// How long a change was waited for, and how long it took to come; unknown of what was read as it stood.
+    /// Time until a change arrived and time of its transfer; absent if the current configuration was read without
+    /// waiting.
     pub times: Option<AnswerTimes>,
 }
 
-/// The store, as an entry uses it.
+/// Store of an entry's configuration, targets and peers.
 #[async_trait]
 pub trait Discovery: Send + Sync {
-    /// Reads the configuration as it stands, or waits for a change after `position` and reads that.
-    /// Returns without a configuration when the wait was long enough.
+    /// Reads the current configuration if `position` is `None`; otherwise waits for a change after `position` and
+    /// reads the changed configuration. Returns without a configuration when the wait ends without a change.
     ///
     /// # Errors
     ///
-    /// [`PlatformError`] when the store did not answer. What is no configuration counts as none, and the
-    /// position moves past it.
+    /// [`PlatformError`] when the store did not answer. A row that can't be read as a configuration is not an error:
+    /// the result has no configuration, and its position is past the row.
     async fn next_configuration(
         &self,
         position: Option<FeedPosition>,
     ) -> Result<ConfigurationUpdate, PlatformError>;
 
-    /// Whether a new configuration is coming in at this moment.
+    /// Whether a new configuration is being received.
     fn is_receiving_configuration(&self) -> bool;
 
     /// Reads the list of targets.
     ///
     /// # Errors
     ///
-    /// [`PlatformError`] when the store did not answer. Entries of other writers name no target; the
-    /// others hold.
+    /// [`PlatformError`] when the store did not answer. Rows of other writers are skipped and don't affect the
+    /// remaining targets.
     async fn targets(&self) -> Result<TargetList, PlatformError>;
 
-    /// Reads the rows that entries have written about themselves; many may be out of date.
+    /// Reads the rows that entries have written about themselves. Many of the rows may be out of date.
     ///
     /// # Errors
     ///
-    /// [`PlatformError`] when the store did not answer. Rows of other writers are left out.
+    /// [`PlatformError`] when the store did not answer. Rows of other writers are skipped.
     async fn members(&self) -> Result<Vec<MemberRow>, PlatformError>;
 
-    /// Writes the own row.
+    /// Writes the row of the calling entry.
     ///
     /// # Errors
     ///
-    /// [`PlatformError`] when the write had no effect, or nobody can tell. Writing it again is
-    /// harmless.
+    /// [`PlatformError`] when the write had no effect or its effect is unknown. Repeating the write is safe.
     async fn announce(&self, row: &MemberRow) -> Result<(), PlatformError>;
 
-    /// How often each row of another writer was left out.
+    /// Number of times each row of another writer was skipped.
     fn foreign_rows(&self) -> BTreeMap<ForeignRow, u64> {
         BTreeMap::new()
     }
--- a/crates/pinhaven-platform/src/error.rs
+++ b/crates/pinhaven-platform/src/error.rs
@@ -1,10 +1,10 @@
-//! What can go wrong at the platform.
+//! Errors of calls to the platform.
 
 use displaydoc::Display as DisplayDoc;
 use pinhaven_types::Help;
 use std::net::SocketAddr;
 
-/// The call that failed.
+/// The step of a platform call that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DisplayDoc)]
 pub enum PlatformStep {
     /// reading a row
@@ -21,38 +21,38 @@
     AwaitChanges,
 }
 
-/// Why a call to the platform gave no result.
+/// Failure of a call to the platform, by the effect that the call had.
 #[derive(Debug, Clone, PartialEq, Eq, DisplayDoc)]
 pub enum PlatformError {
-    /// {step} {key} at {peer}: the condition did not hold, nothing was written
+    /// {step} {key} at {peer}: the condition did not hold; nothing was written
     Conflict {
-        /// The call.
+        /// Step that failed.
         step: PlatformStep,
-        /// The row or object.
+        /// Key of the row or object.
         key: String,
-        /// The platform's address.
+        /// Address of the platform.
         peer: SocketAddr,
     },
-    /// {step} {key} at {peer}: it took no effect: {message}
+    /// {step} {key} at {peer}: the call had no effect: {message}
     NoEffect {
-        /// The call.
+        /// Step that failed.
         step: PlatformStep,
-        /// The row or object.
+        /// Key of the row or object.
         key: String,
-        /// The platform's address.
+        /// Address of the platform.
         peer: SocketAddr,
-        /// What was answered or broke.
+        /// Status of the answer, or the cause of the failure.
         message: String,
     },
-    /// {step} {key} at {peer}: it may have taken effect: {message}
+    /// {step} {key} at {peer}: the call may have taken effect: {message}
     Unknown {
-        /// The call.
+        /// Step that failed.
         step: PlatformStep,
-        /// The row or object.
+        /// Key of the row or object.
         key: String,
-        /// The platform's address.
+        /// Address of the platform.
         peer: SocketAddr,
-        /// What was answered or broke.
+        /// Status of the answer, or the cause of the failure.
         message: String,
     },
 }
@@ -62,9 +62,9 @@
 impl Help for PlatformError {
     fn help(&self) -> &'static str {
         match self {
-            Self::Conflict { .. } => "read the row again and decide anew",
-            Self::NoEffect { .. } => "try again once the platform answers",
-            Self::Unknown { .. } => "read the row back to learn whether the write is there",
+            Self::Conflict { .. } => "read the row again and decide again on the new value",
+            Self::NoEffect { .. } => "retry when the platform answers again",
+            Self::Unknown { .. } => "read the row back to check whether the write took effect",
         }
     }
 }
--- a/crates/pinhaven-platform/src/foreign.rs
+++ b/crates/pinhaven-platform/src/foreign.rs
@@ -1,22 +1,22 @@
-//! Rows of other writers: rows that are there and that nobody here could have written.
+//! Rows of other writers: rows whose key or content pinhaven and its targets never write.
 //!
-//! Such a row costs itself and nothing else. It is left out, which is counted at every read, and told
-//! in one log line for each key and reason, as a list is read several times a second. Only so many keys
-//! are named, so that a writer of many can fill neither the log nor the memory.
+//! Such a row is skipped and doesn't affect the other rows. It is counted at each read, but logged only once per key
+//! and reason, because lists are read several times a second. The number of keys that are logged and counted one by one
+//! is limited, so that a writer of many rows can't fill the log or the memory.
 
 use displaydoc::Display as DisplayDoc;
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
 
-/// Rows that are named one by one; all others are counted together.
+/// Maximum number of rows that are logged and counted one by one. Further rows are counted together.
 const NAMED_ROWS_MAX: usize = 64;
-/// Key that stands for those others.
+/// Key of the rows that are counted together.
 const OTHER_KEYS: &str = "other";
-/// The longest that a key or a message is told, in characters. A message may quote the row, which may
-/// be large.
+/// Maximum length of a key or a message in the log and in metrics, in characters. A message may quote the row, which
+/// may be large.
 const LOGGED_CHARS_MAX: usize = 120;
 
-/// What can't be used about a row.
+/// Part of a row that is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, DisplayDoc)]
 pub enum ForeignReason {
     /// key
@@ -29,34 +29,34 @@
     Number,
 }
 
-/// Why a row can't be used: {reason}: {message}
+/// invalid row, {reason}: {message}
 #[derive(Debug, Clone, PartialEq, Eq, DisplayDoc)]
 pub struct RowFault {
-    /// What can't be used about it.
+    /// Part of the row that is invalid.
     pub reason: ForeignReason,
-    /// What is wrong with it.
+    /// Description of the fault.
     pub message: String,
 }
 
 impl std::error::Error for RowFault {}
 
 impl RowFault {
-    /// The key is no id, or not the one that the row names.
+    /// The key is not a valid id, or differs from the id in the row.
     pub fn key(message: impl ToString) -> Self {
         Self::new(ForeignReason::Key, message)
     }
 
-    /// The bytes can't be had.
+    /// The bytes of the value can't be decoded.
     pub fn encoding(message: impl ToString) -> Self {
         Self::new(ForeignReason::Encoding, message)
     }
 
-    /// Fields are missing or of another type, or hold a name that is not known.
+    /// Fields are missing, have the wrong type or contain an unknown name.
     pub fn form(message: impl ToString) -> Self {
         Self::new(ForeignReason::Form, message)
     }
 
-    /// A number can't be.
+    /// A number is out of its valid range.
     pub fn number(message: impl ToString) -> Self {
         Self::new(ForeignReason::Number, message)
     }
@@ -69,64 +69,64 @@
     }
 }
 
-/// A row of another writer.
+/// A row of another writer, by table, reason and key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ForeignRow {
-    /// Its table, or the start of its key where there is one table.
+    /// Table of the row, or the key prefix of its kind if the store has a single table.
     pub table: String,
-    /// What can't be used about it.
+    /// Part of the row that is invalid.
     pub reason: ForeignReason,
-    /// Its key, shortened if it is long; `other` for all that are not named one by one.
+    /// Key of the row, truncated if it is long; `other` for the rows that are counted together.
     pub key: String,
 }
 
-/// All rows of other writers that were met.
+/// Counts of the rows of other writers that were skipped.
 #[derive(Debug, Default)]
 pub struct ForeignRows {
-    /// How often each was left out.
+    /// Number of times each row was skipped.
     counts: Mutex<BTreeMap<ForeignRow, u64>>,
 }
 
 impl ForeignRows {
-    /// None were met.
+    /// Creates empty counts.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in that a read has left a row out.
+    /// Records that a read skipped a row.
     pub fn record_skipped(&self, table: &str, key: &str, fault: &RowFault) {
         let row = ForeignRow {
             table: table.to_owned(),
             reason: fault.reason,
-            key: shortened(key),
+            key: truncated(key),
         };
         let mut counts = self.counts.lock();
         if let Some(count) = counts.get_mut(&row) {
             *count += 1;
         } else if counts.len() < NAMED_ROWS_MAX {
-            log_named(&row, fault);
+            log_row(&row, fault);
             counts.insert(row, 1);
         } else {
-            count_unnamed(&mut counts, row);
+            count_other(&mut counts, row);
         }
     }
 
-    /// How often each row was left out.
+    /// Number of times each row was skipped.
     pub fn counts(&self) -> BTreeMap<ForeignRow, u64> {
         self.counts.lock().clone()
     }
 }
 
-fn log_named(row: &ForeignRow, fault: &RowFault) {
-    let message = shortened(&fault.message);
+fn log_row(row: &ForeignRow, fault: &RowFault) {
+    let message = truncated(&fault.message);
     log::warn!(
-        target: "rows", "Row {:?} of {} is another writer's and left out, {}: {message}.",
+        target: "rows", "Row {:?} of {} is skipped as another writer's, invalid {}: {message}.",
         row.key, row.table, row.reason
     );
 }
 
-/// Counts a row past those that are named one by one.
-fn count_unnamed(counts: &mut BTreeMap<ForeignRow, u64>, row: ForeignRow) {
+/// Counts a row beyond [`NAMED_ROWS_MAX`] under [`OTHER_KEYS`].
+fn count_other(counts: &mut BTreeMap<ForeignRow, u64>, row: ForeignRow) {
     let other = ForeignRow {
         key: OTHER_KEYS.to_owned(),
         ..row
@@ -136,19 +136,19 @@
         return;
     }
     log::warn!(
-        target: "rows", "More rows of {} are left out, by their {}; they are only counted.",
+        target: "rows", "Further rows of {} with an invalid {} are skipped and counted, but not logged.",
         other.table, other.reason
     );
     counts.insert(other, 1);
 }
 
-/// The beginning of a text, with characters that a log line or a label may not hold replaced.
-fn shortened(text: &str) -> String {
+/// Truncates a text and replaces characters that are not allowed in a log line or a label.
+fn truncated(text: &str) -> String {
     let is_plain = |c: &char| c.is_ascii_graphic() || *c == ' ';
     let chars = text.chars().take(LOGGED_CHARS_MAX);
-    let mut told: String = chars.map(|c| if is_plain(&c) { c } else { '?' }).collect();
+    let mut plain: String = chars.map(|c| if is_plain(&c) { c } else { '?' }).collect();
     if text.chars().nth(LOGGED_CHARS_MAX).is_some() {
-        told.push_str("...");
+        plain.push_str("...");
     }
-    told
+    plain
 }
--- a/crates/pinhaven-platform/src/http.rs
+++ b/crates/pinhaven-platform/src/http.rs
@@ -1,4 +1,7 @@
-//! Both interfaces over HTTP conditional requests.
+//! Table service and object store over HTTP conditional requests.
+//!
+//! Errors distinguish calls without effect from calls whose effect is unknown. Reads and calls that never reached the
+//! platform have no effect. A write without an answer, or with a server error other than 503, may have taken effect.
 
 use crate::Condition;
 use crate::ForeignRow;
@@ -25,17 +28,17 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The table service over HTTP.
+/// Client of the table service over HTTP.
 pub struct HttpTableService {
     caller: Caller,
     foreign: ForeignRows,
 }
 
-/// The object store over HTTP.
+/// Client of the object store over HTTP.
 pub struct HttpObjectStore(Caller);
 
 impl HttpTableService {
-    /// A client of the service at `peer`, each call with a deadline.
+    /// Creates a client of the service at `peer` whose calls take at most `timeout_ms`.
     pub fn new(peer: SocketAddr, timeout_ms: u64) -> Self {
         Self {
             caller: Caller(HttpClient::new(peer, timeout_ms)),
@@ -43,25 +46,25 @@
         }
     }
 
-    /// Takes in that a row was read that is another writer's.
+    /// Records that a row of another writer was read and skipped.
     pub fn record_skipped(&self, table: &str, key: &str, fault: &RowFault) {
         self.foreign.record_skipped(table, key, fault);
     }
 
-    /// How often each row of another writer was left out.
+    /// Number of times each row of another writer was skipped.
     pub fn foreign_rows(&self) -> BTreeMap<ForeignRow, u64> {
         self.foreign.counts()
     }
 }
 
 impl HttpObjectStore {
-    /// A client of the store at `peer`, each call with a deadline.
+    /// Creates a client of the store at `peer` whose calls take at most `timeout_ms`.
     pub fn new(peer: SocketAddr, timeout_ms: u64) -> Self {
         Self(Caller(HttpClient::new(peer, timeout_ms)))
     }
 }
 
-/// A row as a listing spells it. Each may be another writer's and lack what it should have.
+/// A row of a listing. A row of another writer may lack fields or have fields of other types.
 #[derive(Deserialize)]
 struct ListedRow(Value);
 
@@ -80,7 +83,7 @@
 
     fn text(&self, field: &str) -> Result<&str, RowFault> {
         let text = self.0.get(field).and_then(Value::as_str);
-        text.ok_or_else(|| RowFault::form(format!("its {field} is no text")))
+        text.ok_or_else(|| RowFault::form(format!("field {field} is not a string")))
     }
 }
 
@@ -150,14 +153,14 @@
         call.condition = Some(Condition::Absent);
         let response = self.0.call(&call, Bytes::from(bytes)).await?;
         match response.status() {
-            // An object is named by its digest, so one that is there already is the same one.
+            // The key of an object contains its digest, so an object that exists already is identical.
             StatusCode::OK | StatusCode::CREATED | StatusCode::PRECONDITION_FAILED => Ok(()),
             status => Err(self.0.write_error(&call, status)),
         }
     }
 }
 
-/// One call, as far as errors must name it.
+/// A call to the platform, with the parts that errors report.
 struct Call<'key> {
     step: PlatformStep,
     method: Method,
@@ -208,7 +211,8 @@
         }
     }
 
-    /// What a refused write means: below 500 it was refused, above nobody can tell.
+    /// Error of a write that was answered with a failure status. A write had no effect if the status is below 500 or
+    /// 503, and an unknown effect with other server errors.
     fn write_error(&self, call: &Call<'_>, status: StatusCode) -> PlatformError {
         if status == StatusCode::PRECONDITION_FAILED {
             PlatformError::Conflict {
--- a/crates/pinhaven-platform/src/lib.rs
+++ b/crates/pinhaven-platform/src/lib.rs
@@ -1,8 +1,11 @@
 //! Clients of the platform: a transactional table service and an object store.
 //!
-//! Both are reached over HTTP with conditional requests. A write has three outcomes, and the error
-//! type keeps them apart: it took effect, it did not, or nobody can tell. A caller that gets
-//! [`PlatformError::Unknown`] settles it by reading back, as every row carries its writer's id.
+//! Both services are reached over HTTP with conditional requests. A write has three outcomes, which the result
+//! distinguishes: the write took effect, had no effect, or its effect is unknown. After [`PlatformError::Unknown`] the
+//! caller reads the row back: every row carries its writer's id, which shows whether the write took effect.
+//!
+//! [`Discovery`] is the interface to a store that holds configuration, targets and peers; its implementations
+//! are outside this crate.
 
 mod discovery;
 mod error;
--- a/crates/pinhaven-platform/src/store.rs
+++ b/crates/pinhaven-platform/src/store.rs
@@ -1,20 +1,20 @@
-//! The two interfaces of the platform.
+//! Interfaces of the platform's table service and object store.
 
 use crate::PlatformError;
 use std::fmt;
 use std::future::Future;
 
-/// Version of a row, as the table service names it.
+/// Version of a row: an opaque entity tag assigned by the table service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowVersion(String);
 
 impl RowVersion {
-    /// The version with this entity tag.
+    /// Creates a version from its entity tag.
     pub fn new(tag: impl Into<String>) -> Self {
         Self(tag.into())
     }
 
-    /// The entity tag.
+    /// Entity tag of the version.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -29,32 +29,32 @@
 /// A row of the table service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Its version.
+    /// Version of the row, for conditional writes.
     pub version: RowVersion,
-    /// Its value, JSON.
+    /// Value of the row, as JSON text.
     pub value: String,
 }
 
-/// What must hold for a write to take effect.
+/// Precondition of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Condition {
-    /// There is no such row.
+    /// The row does not exist.
     Absent,
     /// The row has this version.
     Version(RowVersion),
 }
 
-/// The transactional table service.
+/// Client of the transactional table service.
 pub trait TableService: Send + Sync {
-    /// Reads a row; `None` when there is none.
+    /// Reads a row. Returns `None` if the row does not exist.
     fn read(&self, key: &str) -> impl Future<Output = Result<Option<Row>, PlatformError>> + Send;
 
     /// Lists the rows whose keys start with `prefix`.
     fn list(&self, prefix: &str) -> impl Future<Output = Result<Vec<Row>, PlatformError>> + Send;
 
-    /// Writes a row when a condition holds.
+    /// Writes a row if `condition` holds, and returns the new version.
     fn write(
         &self,
         key: &str,
@@ -63,15 +63,15 @@
     ) -> impl Future<Output = Result<RowVersion, PlatformError>> + Send;
 }
 
-/// The object store; objects never change.
+/// Client of the object store. Objects are immutable.
 pub trait ObjectStore: Send + Sync {
-    /// Reads an object; `None` when there is none.
+    /// Reads an object. Returns `None` if the object does not exist.
     fn read(
         &self,
         key: &str,
     ) -> impl Future<Output = Result<Option<Vec<u8>>, PlatformError>> + Send;
 
-    /// Writes an object. Writing the same object twice is harmless.
+    /// Writes an object. Writing the same object again has no effect.
     fn write(
         &self,
         key: &str,
--- a/crates/pinhaven-platform/tests/foreign_counts.rs
+++ b/crates/pinhaven-platform/tests/foreign_counts.rs
@@ -1,4 +1,7 @@
-//! What is kept of rows of other writers is bounded, however many there are and whatever they hold.
+//! Counts of rows of other writers, which stay bounded whatever the number and content of the rows.
+//!
+//! Rows in a shared store may come from any writer. Without bounds, many or large rows would fill the memory, the log
+//! and the metrics, and control characters in keys would break their lines.
 
 use pinhaven_platform::ForeignReason;
 use pinhaven_platform::ForeignRows;
@@ -26,7 +29,7 @@
 }
 
 #[test]
-fn past_a_number_of_rows_the_others_are_counted_together_and_none_is_lost() {
+fn rows_beyond_the_limit_are_counted_together_and_none_is_lost() {
     let rows = ForeignRows::new();
     for number in 0..10_000 {
         let key = format!("i-{number}");
@@ -40,17 +43,19 @@
 }
 
 #[test]
-fn keys_are_told_short_and_plain() {
-    fn is_plain(keys: Vec<String>) -> bool {
+fn keys_are_truncated_and_printable() {
+    fn is_printable(keys: Vec<String>) -> bool {
         let rows = ForeignRows::new();
         for key in keys.iter().chain([&"k".repeat(60_000)]) {
             rows.record_skipped("servers", key, &RowFault::key("no id"));
         }
-        let told: BTreeSet<String> = rows.counts().into_keys().map(|row| row.key).collect();
-        let is_plain = |key: &String| key.chars().all(|c| c.is_ascii_graphic() || c == ' ');
-        told.iter().all(|key| key.len() <= 130 && is_plain(key))
+        let truncated: BTreeSet<String> = rows.counts().into_keys().map(|row| row.key).collect();
+        let is_printable = |key: &String| key.chars().all(|c| c.is_ascii_graphic() || c == ' ');
+        truncated
+            .iter()
+            .all(|key| key.len() <= 130 && is_printable(key))
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(30, 75))
-        .quickcheck(is_plain as fn(Vec<String>) -> bool);
+        .quickcheck(is_printable as fn(Vec<String>) -> bool);
 }
--- a/crates/pinhaven-platform/tests/foreign_rows.rs
+++ b/crates/pinhaven-platform/tests/foreign_rows.rs
@@ -1,4 +1,6 @@
-//! A listing with rows of other writers: what can be read is read.
+//! Listings that contain rows of other writers.
+//!
+//! A row with a missing field or a field of another type must not fail the whole listing: the other rows are returned.
 
 use pinhaven_platform::HttpTableService;
 use pinhaven_platform::TableService as _;
@@ -10,7 +12,7 @@
 
 const TIMEOUT_MS: u64 = 1_500;
 
-/// Answers one request with this body.
+/// Starts a server that answers one request with `body`.
 fn answer_once(body: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/pinhaven-platform/tests/http.rs
+++ b/crates/pinhaven-platform/tests/http.rs
@@ -1,4 +1,7 @@
-//! The platform's interfaces against the stand-in, faults included.
+//! Clients of the platform against the stand-in, with injected faults.
+//!
+//! A write that is reported as without effect although it took effect would be repeated or given up wrongly, so each
+//! fault must map to the right kind of error.
 
 use bytes::Bytes;
 use http::Request;
@@ -47,7 +50,7 @@
 }
 
 #[test]
-fn rows_are_listed_by_the_start_of_their_keys() {
+fn rows_are_listed_by_key_prefix() {
     block_on(async {
         let table = HttpTableService::new(platform(), TIMEOUT_MS);
         for key in ["a/1", "a/2", "b/1"] {
@@ -86,8 +89,8 @@
 }
 
 #[test]
-fn each_fault_is_told_apart_by_what_it_leaves_open() {
-    // (fault, what a read says, what a write says)
+fn each_fault_is_reported_by_its_possible_effect() {
+    // (fault, error of a read, error of a write)
     let table_of_faults = [
         (r#"{"table_down": true}"#, Kind::NoEffect, Kind::NoEffect),
         (r#"{"hang_percent": 100}"#, Kind::NoEffect, Kind::Unknown),
@@ -119,9 +122,9 @@
 }
 
 #[test]
-fn a_platform_that_is_not_there_takes_no_effect() {
+fn a_call_to_an_unreachable_platform_has_no_effect() {
     block_on(async {
-        // A port that was just given back has no listener.
+        // A port that was just released has no listener.
         let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
         let address = listener.local_addr().unwrap();
         drop(listener);
