--- a/crates/pinhaven-entry/src/callers/job.rs
+++ b/crates/pinhaven-entry/src/callers/job.rs
@@ -2,7 +2,7 @@
 
 use crate::callers::body::RequestBody;
 use crate::callers::routes::Routed;
-use crate::crashes::prints::RequestPrints;
+use crate::crashes::fingerprints::RequestPrints;
 use crate::entry::Entry;
 use crate::versions::service_entry::ServiceEntry;
 use http::HeaderMap;
--- a/crates/pinhaven-entry/src/crashes/news.rs
+++ b/crates/pinhaven-entry/src/crashes/advertise.rs
@@ -1,9 +1,9 @@
 //! Telling other entries which requests were under way when targets crashed.
 
 use crate::entry::Entry;
+use crate::peers::datagram_sender::NewsSocket;
+use crate::peers::datagram_sender::send_all;
 use crate::peers::gossip_message::beat_of;
-use crate::peers::news::NewsSocket;
-use crate::peers::news::send_all;
 use crate::peers::recipients::Occasion;
 use pinhaven_decide::Audience;
 use pinhaven_decide::CrashedRun;
--- a/crates/pinhaven-entry/src/crashes/mod.rs
+++ b/crates/pinhaven-entry/src/crashes/mod.rs
@@ -3,7 +3,7 @@
 //! `request` tells what became of attempts and asks whether one may be sent; `pinhaven-decide` judges. What is known goes
 //! to other entries with the news of `peers`, at once where it is news.
 
-pub(crate) mod news;
-pub(crate) mod prints;
+pub(crate) mod advertise;
+pub(crate) mod fingerprints;
 pub(crate) mod record;
 pub(crate) mod watch;
--- a/crates/pinhaven-entry/src/crashes/watch.rs
+++ b/crates/pinhaven-entry/src/crashes/watch.rs
@@ -1,7 +1,7 @@
 //! Which requests may be sent to targets, by what all entries know of crashes.
 
 use crate::callers::job::Job;
-use crate::crashes::prints::RequestPrints;
+use crate::crashes::fingerprints::RequestPrints;
 use crate::entry::Entry;
 use parking_lot::Mutex;
 use pinhaven_decide::Audience;
--- a/crates/pinhaven-entry/src/entry.rs
+++ b/crates/pinhaven-entry/src/entry.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::crashes::watch::CrashWatch;
 use crate::once_only::claim_rate::ClaimRate;
-use crate::peers::news_message::PeerCounts;
+use crate::peers::peer_counts::PeerCounts;
 use crate::targets::heard_leaves::HeardLeaves;
 use crate::targets::leaving_news::LeavingNews;
 use crate::targets::restarts::Restarts;
--- a/crates/pinhaven-entry/src/peers/news_hearing.rs
+++ b/crates/pinhaven-entry/src/peers/datagram_receiver.rs
@@ -1,12 +1,12 @@
 //! Taking in what other entries say in their datagrams, and answering who asks about entries.
 
 use crate::entry::Entry;
+use crate::peers::datagram_sender::IDENTITIES_MAX;
+use crate::peers::datagram_sender::NewsSocket;
+use crate::peers::datagram_sender::send_all;
 use crate::peers::gossip_message::beat_of;
 use crate::peers::gossip_message::identity_of;
 use crate::peers::gossip_message::to_incarnation;
-use crate::peers::news::IDENTITIES_MAX;
-use crate::peers::news::NewsSocket;
-use crate::peers::news::send_all;
 use crate::watch::counters::Count;
 use pinhaven_peer::Beat;
 use pinhaven_peer::News;
--- a/crates/pinhaven-entry/src/peers/news.rs
+++ b/crates/pinhaven-entry/src/peers/datagram_sender.rs
@@ -5,14 +5,14 @@
 //! the others they only tell now and then that they live. An entry that does not serve tells one that does,
 //! which passes it on.
 
-use crate::crashes::news::TOLD_BESIDE;
+use crate::crashes::advertise::TOLD_BESIDE;
 use crate::entry::Entry;
 use crate::error::EntryError;
 use crate::error::EntryStep;
 use crate::peers::gossip_message::beat_of;
 use crate::peers::gossip_message::identity_of;
 use crate::peers::gossip_message::to_bytes;
-use crate::peers::news_message::gather;
+use crate::peers::peer_counts::gather;
 use crate::peers::recipients::Occasion;
 use crate::peers::recipients::Recipients;
 use crate::watch::beliefs::LivePeers;
--- a/crates/pinhaven-entry/src/peers/gossip.rs
+++ b/crates/pinhaven-entry/src/peers/gossip.rs
@@ -3,7 +3,7 @@
 //! Each round an entry talks to one peer, drawn by lot; news goes to several at once. A message names
 //! a bounded number of members, so that its size does not grow with the number of entries.
 
-use crate::crashes::news::TOLD_BESIDE;
+use crate::crashes::advertise::TOLD_BESIDE;
 use crate::entry::Entry;
 use crate::once_only::relayed;
 use crate::peers::gossip_message::BEATS_MAX;
--- a/crates/pinhaven-entry/src/start.rs
+++ b/crates/pinhaven-entry/src/start.rs
@@ -7,8 +7,8 @@
 use crate::error::EntryError;
 use crate::error::EntryStep;
 use crate::listening::listen;
+use crate::peers::datagram_sender;
 use crate::peers::gossip::PeerAnswers;
-use crate::peers::news;
 use crate::stop::Servers;
 use crate::stop::stop;
 use crate::targets::listed_targets;
@@ -167,7 +167,7 @@
 
 /// Starts what runs beside the requests where a store holds everything.
 fn run_beside_discovered(entry: &Arc<Entry>, news_address: SocketAddr) -> Result<(), EntryError> {
-    let socket = news::listen(news_address)?;
+    let socket = datagram_sender::listen(news_address)?;
     spawn(Arc::clone(entry).follow_configuration()).detach();
     spawn(Arc::clone(entry).keep_target_list()).detach();
     spawn(Arc::clone(entry).keep_membership()).detach();
