--- a/crates/pinhaven-entry/src/crashes/advertise.rs
+++ b/crates/pinhaven-entry/src/crashes/advertise.rs
@@ -1,10 +1,10 @@
 //! Telling other entries which requests were under way when targets crashed.
 
 use crate::entry::Entry;
-use crate::peers::datagram_sender::NewsSocket;
+use crate::peers::datagram_sender::DatagramSocket;
 use crate::peers::datagram_sender::send_all;
-use crate::peers::gossip_message::beat_of;
-use crate::peers::recipients::Occasion;
+use crate::peers::gossip_message::heartbeat_of;
+use crate::peers::recipients::UpdateScope;
 use pinhaven_decide::Audience;
 use pinhaven_decide::CrashedRun;
 use pinhaven_decide::SuspectFacts;
@@ -26,7 +26,7 @@
 
 impl Entry {
     /// Tells all other entries at once of crashes that this one has seen, for ever.
-    pub(crate) async fn tell_crashes(self: Arc<Self>, socket: Arc<NewsSocket>) {
+    pub(crate) async fn tell_crashes(self: Arc<Self>, socket: Arc<DatagramSocket>) {
         loop {
             let word = self.crashes.news.listen();
             let Some(audience) = self.crashes.take_audience() else {
@@ -54,10 +54,10 @@
     }
 
     fn recipients_for(&self, audience: Audience) -> Vec<SocketAddr> {
-        let recipients = self.recipients(Occasion::FirstHand, self.now());
-        let serving = [recipients.close, recipients.close_far].concat();
+        let recipients = self.recipients(UpdateScope::Direct, self.now());
+        let serving = [recipients.serving_near, recipients.serving_far].concat();
         match audience {
-            Audience::All => [serving, recipients.distant].concat(),
+            Audience::All => [serving, recipients.standby].concat(),
             Audience::Serving | Audience::Nobody => serving,
         }
     }
@@ -66,7 +66,7 @@
         let suspects = self.suspects_to_tell(TOLD_AT_ONCE, 1);
         let members = self.members.lock();
         News {
-            beats: vec![beat_of(members.own())],
+            beats: vec![heartbeat_of(members.own())],
             suspects,
             ..News::default()
         }
--- a/crates/pinhaven-entry/src/peers/datagram_receiver.rs
+++ b/crates/pinhaven-entry/src/peers/datagram_receiver.rs
@@ -1,10 +1,10 @@
 //! Taking in what other entries say in their datagrams, and answering who asks about entries.
 
 use crate::entry::Entry;
+use crate::peers::datagram_sender::DatagramSocket;
 use crate::peers::datagram_sender::IDENTITIES_MAX;
-use crate::peers::datagram_sender::NewsSocket;
 use crate::peers::datagram_sender::send_all;
-use crate::peers::gossip_message::beat_of;
+use crate::peers::gossip_message::heartbeat_of;
 use crate::peers::gossip_message::identity_of;
 use crate::peers::gossip_message::to_incarnation;
 use crate::watch::counters::Count;
@@ -26,7 +26,7 @@
 
 impl Entry {
     /// Takes news in, for ever.
-    pub(crate) async fn hear_news(self: Arc<Self>, socket: Arc<NewsSocket>) {
+    pub(crate) async fn receive_datagrams(self: Arc<Self>, socket: Arc<DatagramSocket>) {
         let mut buffer = vec![0; DATAGRAM_BYTES_MAX];
         loop {
             let (length, peer) = match socket.recv_from(&mut buffer).await {
@@ -39,13 +39,18 @@
             };
             self.counters.add_many(Count::PeerBytes, length as u64);
             match News::decode(&buffer[..length]) {
-                Ok(news) => self.hear(news, peer, &socket).await,
+                Ok(news) => self.apply_datagram(news, peer, &socket).await,
                 Err(error) => log::warn!(target: "news", "A datagram of {peer} is none: {error}."),
             }
         }
     }
 
-    async fn hear(self: &Arc<Self>, news: News, peer: SocketAddr, socket: &NewsSocket) {
+    async fn apply_datagram(
+        self: &Arc<Self>,
+        news: News,
+        peer: SocketAddr,
+        socket: &DatagramSocket,
+    ) {
         let Some(beat) = news.beats.first().cloned() else {
             return;
         };
@@ -56,16 +61,16 @@
             return;
         }
         let is_new = self.members.lock().member(incarnation).is_none();
-        self.hear_sender(news.sender, &news.beats);
+        self.record_sender(news.sender, &news.beats);
         for identity in news.identities {
-            self.hear_identity(identity, &news.beats);
+            self.record_identity(identity, &news.beats);
         }
-        self.hear_beats(&news.beats);
+        self.record_heartbeats(&news.beats);
         self.hear_suspects(&news.suspects);
         self.hear_leaves(&news.leaving);
         let targets = news.targets.unwrap_or_default().rows();
-        self.hear_targets(incarnation, &beat, &targets, news.is_whole);
-        let calls_at = self.calls_at(incarnation).unwrap_or(peer);
+        self.apply_target_updates(incarnation, &beat, &targets, news.is_whole);
+        let calls_at = self.rpc_address(incarnation).unwrap_or(peer);
         self.hear_version(calls_at, BundleVersion::new(beat.version));
         if let Some(list) = news.list {
             let age = list
@@ -86,17 +91,23 @@
     }
 
     /// Where a peer takes calls, as it says itself.
-    fn calls_at(&self, incarnation: Incarnation) -> Option<SocketAddr> {
+    fn rpc_address(&self, incarnation: Incarnation) -> Option<SocketAddr> {
         let members = self.members.lock();
         let member = members.member(incarnation)?;
         Some(member.row.peer_address)
     }
 
-    fn hear_targets(&self, peer: Incarnation, beat: &Beat, news: &[TargetNews], is_whole: bool) {
+    fn apply_target_updates(
+        &self,
+        peer: Incarnation,
+        beat: &Beat,
+        news: &[TargetNews],
+        is_whole: bool,
+    ) {
         let snapshot = self.snapshot.load();
         let mut counts = self.peer_counts.lock();
         let is_speed_news =
-            counts.hear(peer, beat.heartbeat, news, is_whole, &snapshot, self.now());
+            counts.record_update(peer, beat.heartbeat, news, is_whole, &snapshot, self.now());
         drop(counts);
         if is_speed_news {
             self.wake_waiting();
@@ -127,7 +138,7 @@
         let beats = std::iter::once(members.own()).chain(rows.iter().copied());
         News {
             sender: Some(identity_of(members.own())),
-            beats: beats.map(beat_of).collect(),
+            beats: beats.map(heartbeat_of).collect(),
             identities: rows.into_iter().map(identity_of).collect(),
             ..News::default()
         }
--- a/crates/pinhaven-entry/src/peers/datagram_sender.rs
+++ b/crates/pinhaven-entry/src/peers/datagram_sender.rs
@@ -9,12 +9,12 @@
 use crate::entry::Entry;
 use crate::error::EntryError;
 use crate::error::EntryStep;
-use crate::peers::gossip_message::beat_of;
+use crate::peers::gossip_message::heartbeat_of;
 use crate::peers::gossip_message::identity_of;
 use crate::peers::gossip_message::to_bytes;
-use crate::peers::peer_counts::gather;
-use crate::peers::recipients::Occasion;
+use crate::peers::peer_counts::collect_updates;
 use crate::peers::recipients::Recipients;
+use crate::peers::recipients::UpdateScope;
 use crate::watch::beliefs::LivePeers;
 use crate::watch::counters::Count;
 use async_io::Async;
@@ -74,14 +74,14 @@
 const TARGETS_MAX: usize = 160;
 
 /// The socket for news.
-pub(crate) type NewsSocket = Async<UdpSocket>;
+pub(crate) type DatagramSocket = Async<UdpSocket>;
 
 /// Opens the socket for news, at the address for peers.
 ///
 /// # Errors
 ///
 /// [`EntryError`] when the address can't be had.
-pub(crate) fn listen(address: SocketAddr) -> Result<Arc<NewsSocket>, EntryError> {
+pub(crate) fn listen(address: SocketAddr) -> Result<Arc<DatagramSocket>, EntryError> {
     let socket = Async::<UdpSocket>::bind(address);
     socket.map(Arc::new).map_err(|error| EntryError::System {
         step: EntryStep::ListenForNews,
@@ -126,68 +126,72 @@
 
 impl Entry {
     /// Tells news, for ever.
-    pub(crate) async fn tell_news(self: Arc<Self>, socket: Arc<NewsSocket>) {
+    pub(crate) async fn send_datagrams(self: Arc<Self>, socket: Arc<DatagramSocket>) {
         let mut sender = Sender::default();
         // Others should hear of this entry at once.
-        self.tell_round(&mut sender, &socket, true).await;
+        self.send_round(&mut sender, &socket, true).await;
         loop {
             let news = self.news.listen();
-            let is_urgent = within(self.round(&sender), news).await.is_some();
-            self.tell_round(&mut sender, &socket, is_urgent).await;
+            let is_urgent = within(self.next_round_delay(&sender), news).await.is_some();
+            self.send_round(&mut sender, &socket, is_urgent).await;
         }
     }
 
-    async fn tell_round(&self, sender: &mut Sender, socket: &NewsSocket, is_urgent: bool) {
+    async fn send_round(&self, sender: &mut Sender, socket: &DatagramSocket, is_urgent: bool) {
         let now = self.now();
         let list_read_at = self.list_read_at(now);
         let has_read_list = list_read_at > sender.list_told_at;
-        let may_be_first = self.is_meeting() || self.is_delegate(now);
+        let may_be_first = self.is_discovering() || self.is_delegate(now);
         let is_first_hand = has_read_list || (is_urgent && may_be_first);
         let is_due = now.saturating_sub(sender.whole_at) >= self.whole_every();
         let is_whole = is_urgent || has_read_list || is_due;
         if is_whole {
             sender.whole_at = now;
-            self.look_at_peers(sender, now);
+            self.refresh_peers(sender, now);
         }
         let occasion = match is_first_hand {
-            true => Occasion::FirstHand,
-            false => Occasion::Beat,
+            true => UpdateScope::Direct,
+            false => UpdateScope::Heartbeat,
         };
         let recipients = self.recipients(occasion, now);
-        sender.sends_often = recipients.sends_often;
-        if !is_whole && !recipients.sends_often {
+        sender.sends_often = recipients.sends_every_round;
+        if !is_whole && !recipients.sends_every_round {
             return;
         }
-        self.count_beat();
+        self.advance_heartbeat();
         sender.list_told_at = list_read_at;
         let bytes = self
-            .tell_recipients(&recipients, sender, is_whole, is_urgent, socket)
+            .send_to_recipients(&recipients, sender, is_whole, is_urgent, socket)
             .await;
         let link = self.settings.resources.link_mbps * BYTES_PER_MEGABIT;
         sender.pause_least = Duration::from_secs_f64(bytes as f64 / (link * NEWS_LINK_SHARE));
     }
 
     /// Tells all who are to hear this round. Returns the bytes that were sent.
-    async fn tell_recipients(
+    async fn send_to_recipients(
         &self,
         recipients: &Recipients,
         sender: &mut Sender,
         is_whole: bool,
         is_urgent: bool,
-        socket: &NewsSocket,
+        socket: &DatagramSocket,
     ) -> usize {
         let now = self.now();
         if !is_whole {
             let round = Extent::Round;
-            let near = &recipients.close;
-            let mut bytes = self.tell_close(near, &mut sender.near, round, socket).await;
+            let near = &recipients.serving_near;
+            let mut bytes = self
+                .send_to_group(near, &mut sender.near, round, socket)
+                .await;
             if now.saturating_sub(sender.far.told_at) >= self.far_round() {
-                let far = &recipients.close_far;
-                bytes += self.tell_close(far, &mut sender.far, round, socket).await;
+                let far = &recipients.serving_far;
+                bytes += self
+                    .send_to_group(far, &mut sender.far, round, socket)
+                    .await;
             }
             return bytes;
         }
-        let is_meeting = self.is_meeting();
+        let is_meeting = self.is_discovering();
         let is_due = now.saturating_sub(sender.identity_at) >= IDENTITY_EVERY;
         let has_identity = is_urgent || is_meeting || is_due;
         if has_identity {
@@ -203,33 +207,33 @@
             false => whole(BEATS_PASSED_ON_FAR),
         };
         let mut bytes = self
-            .tell_close(&recipients.close, &mut sender.near, near, socket)
+            .send_to_group(&recipients.serving_near, &mut sender.near, near, socket)
             .await;
         bytes += self
-            .tell_close(&recipients.close_far, &mut sender.far, far, socket)
+            .send_to_group(&recipients.serving_far, &mut sender.far, far, socket)
             .await;
         let mut beat = self.message(&[], far);
         // Entries that stand by get no part of what may be innocent: it would go to all of them.
         beat.suspects = self.suspects_to_tell(TOLD_BESIDE, REPEATED_CRASHES);
-        bytes + send_all(self, socket, &recipients.distant, &beat).await
+        bytes + send_all(self, socket, &recipients.standby, &beat).await
     }
 
     fn whole_every(&self) -> Microseconds {
-        match self.is_meeting() {
+        match self.is_discovering() {
             true => WHOLE_EVERY_WHILE_MEETING,
             false => WHOLE_EVERY,
         }
     }
 
     /// Whether this entry has just started and may not know all others yet.
-    fn is_meeting(&self) -> bool {
+    fn is_discovering(&self) -> bool {
         self.clock.age() < MEETING_TIME
     }
 
     /// Brings up to date what depends on which peers live.
-    fn look_at_peers(&self, sender: &mut Sender, now: Microseconds) {
+    fn refresh_peers(&self, sender: &mut Sender, now: Microseconds) {
         self.members.lock().forget_silent(now);
-        self.peer_counts.lock().forget_silent(now);
+        self.peer_counts.lock().remove_silent(now);
         let demand = sender
             .demand
             .record(self.counters.get(Count::Attempts), now);
@@ -244,18 +248,18 @@
     }
 
     /// Tells the entries of one audience of targets, and that this one lives. Returns the bytes sent.
-    async fn tell_close(
+    async fn send_to_group(
         &self,
         peers: &[SocketAddr],
         audience: &mut Audience,
         extent: Extent,
-        socket: &NewsSocket,
+        socket: &DatagramSocket,
     ) -> usize {
         let now = self.now();
         audience.told_at = now;
         let is_whole = extent != Extent::Round;
         let snapshot = self.snapshot.load();
-        let targets = gather(&mut audience.told, &snapshot, now, is_whole);
+        let targets = collect_updates(&mut audience.told, &snapshot, now, is_whole);
         if targets.is_empty() {
             if !is_whole {
                 return 0;
@@ -275,8 +279,8 @@
 
     /// Time until the next round: the shorter the fuller the targets of any service are, and long for
     /// an entry that has nothing under way and does not serve.
-    fn round(&self, sender: &Sender) -> Duration {
-        if self.is_meeting() {
+    fn next_round_delay(&self, sender: &Sender) -> Duration {
+        if self.is_discovering() {
             return Duration::from_micros(WHOLE_EVERY_WHILE_MEETING.count());
         }
         if !sender.sends_often && self.in_flight() == 0 {
@@ -312,7 +316,7 @@
         own_age.map(|age| now.saturating_sub(age))
     }
 
-    fn count_beat(&self) {
+    fn advance_heartbeat(&self) {
         let version = self.snapshot.load().version;
         self.members.lock().beat(version, 0);
     }
@@ -347,7 +351,7 @@
         let own = members.own();
         let mut news = News {
             leaving,
-            beats: vec![beat_of(own)],
+            beats: vec![heartbeat_of(own)],
             list: list.flatten(),
             targets: (!targets.is_empty()).then(|| TargetColumns::new(targets)),
             suspects,
@@ -378,13 +382,13 @@
 fn some_live_beats(live: &[&MemberRow], count: usize) -> Vec<Beat> {
     let mut live = live.to_vec();
     fastrand::shuffle(&mut live);
-    live.into_iter().take(count).map(beat_of).collect()
+    live.into_iter().take(count).map(heartbeat_of).collect()
 }
 
 /// Sends a message to several peers. Returns the bytes that were sent.
 pub(crate) async fn send_all(
     entry: &Entry,
-    socket: &NewsSocket,
+    socket: &DatagramSocket,
     peers: &[SocketAddr],
     message: &News,
 ) -> usize {
--- a/crates/pinhaven-entry/src/peers/gossip.rs
+++ b/crates/pinhaven-entry/src/peers/gossip.rs
@@ -6,15 +6,15 @@
 use crate::crashes::advertise::TOLD_BESIDE;
 use crate::entry::Entry;
 use crate::once_only::relayed;
-use crate::peers::gossip_message::BEATS_MAX;
-use crate::peers::gossip_message::beat_of;
+use crate::peers::gossip_message::HEARTBEATS_MAX;
+use crate::peers::gossip_message::heartbeat_of;
 use crate::peers::gossip_message::identity_of;
 use crate::peers::gossip_message::peer_address_of;
 use crate::peers::gossip_message::row_of;
-use crate::peers::gossip_message::some_beats;
+use crate::peers::gossip_message::sample_heartbeats;
 use crate::peers::gossip_message::to_bytes;
 use crate::peers::gossip_message::to_incarnation;
-use crate::peers::gossip_message::with_beat;
+use crate::peers::gossip_message::with_heartbeat;
 use crate::watch::counters::Count;
 use pinhaven_agree::MemberRow;
 use pinhaven_peer::Beat;
@@ -64,12 +64,12 @@
             if rounds.is_multiple_of(ROUNDS_PER_LISTING) {
                 self.list_entries().await;
             }
-            let has_news = self.beat();
+            let has_news = self.begin_gossip_round();
             let mut peers = self.known_peer_addresses();
             random.shuffle(&mut peers);
             let fan_out = if has_news { NEWS_FAN_OUT } else { 1 };
             let (first, rest) = peers.split_at(peers.len().min(1));
-            self.tell(&rest[..rest.len().min(fan_out - 1)]);
+            self.exchange_with_all(&rest[..rest.len().min(fan_out - 1)]);
             // Listening begins before the exchange, so that what it brings is not missed.
             let news = self.news.listen();
             if let Some(peer) = first.first() {
@@ -78,14 +78,14 @@
             rounds += 1;
             let round = Duration::from_millis(self.settings.gossip_ms);
             if within(round, news).await.is_some() {
-                self.beat();
-                self.tell(&peers[..peers.len().min(NEWS_FAN_OUT)]);
+                self.begin_gossip_round();
+                self.exchange_with_all(&peers[..peers.len().min(NEWS_FAN_OUT)]);
             }
         }
     }
 
     /// Exchanges with several peers at once.
-    fn tell(self: &Arc<Self>, peers: &[SocketAddr]) {
+    fn exchange_with_all(self: &Arc<Self>, peers: &[SocketAddr]) {
         for peer in peers {
             let entry = Arc::clone(self);
             let peer = *peer;
@@ -94,7 +94,7 @@
     }
 
     /// Beats the heart once. Returns whether there is news of leaving targets.
-    fn beat(&self) -> bool {
+    fn begin_gossip_round(&self) -> bool {
         let snapshot = self.snapshot.load();
         let now = self.now();
         let has_news = self.leaving.lock().gather(&snapshot, now);
@@ -123,7 +123,7 @@
         };
         let received = response.encoded_len() as u64;
         self.counters.add_many(Count::PeerBytes, received);
-        let newest = self.take_response(response);
+        let newest = self.record_response(response);
         if newest > self.version.lock().version() {
             self.version_lag.lock().record_known(newest, self.now());
             // A large version may take long; heartbeats must go on meanwhile.
@@ -139,26 +139,26 @@
         ExchangeRequest {
             suspects,
             sender: Some(identity_of(members.own())),
-            beats: some_beats(members.rows()),
+            beats: sample_heartbeats(members.rows()),
             wanted: wanted.iter().take(WANTED_MAX).map(to_bytes).collect(),
             leaving: self.leaving.lock().fresh(self.now()),
         }
     }
 
     /// Takes a peer's answer in; returns the version that the peer itself has in force.
-    fn take_response(&self, response: ExchangeResponse) -> BundleVersion {
+    fn record_response(&self, response: ExchangeResponse) -> BundleVersion {
         self.hear_leaving(&response.leaving);
         self.hear_suspects(&response.suspects);
-        let newest = self.hear_sender(response.sender, &response.beats);
+        let newest = self.record_sender(response.sender, &response.beats);
         for identity in response.identities {
-            self.hear_identity(identity, &response.beats);
+            self.record_identity(identity, &response.beats);
         }
-        self.hear_beats(&response.beats);
+        self.record_heartbeats(&response.beats);
         newest
     }
 
     /// Takes in what a peer says of itself; returns its version in force.
-    pub(crate) fn hear_sender(&self, sender: Option<Identity>, beats: &[Beat]) -> BundleVersion {
+    pub(crate) fn record_sender(&self, sender: Option<Identity>, beats: &[Beat]) -> BundleVersion {
         let row = sender.and_then(|sender| row_of(sender, beats));
         let Some(row) = row else {
             return BundleVersion::NONE;
@@ -169,14 +169,14 @@
         version
     }
 
-    pub(crate) fn hear_identity(&self, identity: Identity, beats: &[Beat]) {
+    pub(crate) fn record_identity(&self, identity: Identity, beats: &[Beat]) {
         if let Some(row) = row_of(identity, beats) {
             self.unknown_members.lock().remove(&row.incarnation);
             self.members.lock().hear_of(row, self.now());
         }
     }
 
-    pub(crate) fn hear_beats(&self, beats: &[Beat]) {
+    pub(crate) fn record_heartbeats(&self, beats: &[Beat]) {
         let now = self.now();
         let mut members = self.members.lock();
         for beat in beats {
@@ -191,13 +191,13 @@
                     self.unknown_members.lock().insert(incarnation);
                 }
                 Some(member) => {
-                    let row = with_beat(member.row.clone(), beat);
+                    let row = with_heartbeat(member.row.clone(), beat);
                     members.hear_of(row, now);
                 }
             }
         }
         let mut unknown = self.unknown_members.lock();
-        while unknown.len() > BEATS_MAX {
+        while unknown.len() > HEARTBEATS_MAX {
             unknown.pop_first();
         }
     }
@@ -274,8 +274,8 @@
         entry.hear_leaving(&request.leaving);
         entry.hear_suspects(&request.suspects);
         let sender = request.sender.as_ref().and_then(peer_address_of);
-        let newest = entry.hear_sender(request.sender, &request.beats);
-        entry.hear_beats(&request.beats);
+        let newest = entry.record_sender(request.sender, &request.beats);
+        entry.record_heartbeats(&request.beats);
         if newest > entry.version.lock().version()
             && let Some(peer) = sender
         {
@@ -319,10 +319,10 @@
         .filter(|row| wanted.contains(&row.incarnation))
         .collect();
     let identities = asked_for.iter().map(|row| identity_of(row)).collect();
-    let mut beats: Vec<Beat> = asked_for.iter().map(|row| beat_of(row)).collect();
+    let mut beats: Vec<Beat> = asked_for.iter().map(|row| heartbeat_of(row)).collect();
     let sender = Some(identity_of(members.own()));
     drop(asked_for);
-    beats.extend(some_beats(rows));
+    beats.extend(sample_heartbeats(rows));
     ExchangeResponse {
         sender,
         beats,
--- a/crates/pinhaven-entry/src/peers/gossip_message.rs
+++ b/crates/pinhaven-entry/src/peers/gossip_message.rs
@@ -10,17 +10,17 @@
 use std::net::SocketAddr;
 
 /// Members named in one message.
-pub(crate) const BEATS_MAX: usize = 20;
+pub(crate) const HEARTBEATS_MAX: usize = 20;
 
 /// Beats of the first row, which is the sender's, and of others drawn by lot.
-pub(crate) fn some_beats(mut rows: Vec<MemberRow>) -> Vec<Beat> {
-    if rows.len() > BEATS_MAX {
+pub(crate) fn sample_heartbeats(mut rows: Vec<MemberRow>) -> Vec<Beat> {
+    if rows.len() > HEARTBEATS_MAX {
         fastrand::shuffle(&mut rows[1..]);
     }
-    rows.iter().take(BEATS_MAX).map(beat_of).collect()
+    rows.iter().take(HEARTBEATS_MAX).map(heartbeat_of).collect()
 }
 
-pub(crate) fn beat_of(row: &MemberRow) -> Beat {
+pub(crate) fn heartbeat_of(row: &MemberRow) -> Beat {
     Beat {
         incarnation: to_bytes(&row.incarnation),
         heartbeat: row.heartbeat,
@@ -65,10 +65,10 @@
         version: BundleVersion::NONE,
         epoch: 0,
     };
-    Some(with_beat(row, beat))
+    Some(with_heartbeat(row, beat))
 }
 
-pub(crate) fn with_beat(row: MemberRow, beat: &Beat) -> MemberRow {
+pub(crate) fn with_heartbeat(row: MemberRow, beat: &Beat) -> MemberRow {
     MemberRow {
         state: to_state(beat.state),
         heartbeat: beat.heartbeat,
--- a/crates/pinhaven-entry/src/peers/peer_counts.rs
+++ b/crates/pinhaven-entry/src/peers/peer_counts.rs
@@ -16,7 +16,7 @@
 const COUNTS_HOLD_FOR: Microseconds = Microseconds::from_ms(1_600);
 
 /// What there is to tell of targets: what is worth telling now, as [`AdvertisedTargets`] has it.
-pub(crate) fn gather(
+pub(crate) fn collect_updates(
     told: &mut AdvertisedTargets,
     snapshot: &Snapshot,
     now: Microseconds,
@@ -88,7 +88,7 @@
 impl PeerCounts {
     /// Takes in what an entry says in its datagram with number `heartbeat`. Returns whether any
     /// target's speed was news.
-    pub(crate) fn hear(
+    pub(crate) fn record_update(
         &mut self,
         peer: Incarnation,
         heartbeat: u64,
@@ -127,7 +127,7 @@
     }
 
     /// Forgets the counts of entries that have been silent for long.
-    pub(crate) fn forget_silent(&mut self, now: Microseconds) {
+    pub(crate) fn remove_silent(&mut self, now: Microseconds) {
         self.0.retain(|_, count| {
             let is_heard = now.saturating_sub(count.heard_at) < COUNTS_HOLD_FOR;
             if !is_heard {
--- a/crates/pinhaven-entry/src/peers/peer_rows.rs
+++ b/crates/pinhaven-entry/src/peers/peer_rows.rs
@@ -24,7 +24,7 @@
 
 impl Entry {
     /// Writes the own row and finds the others', for ever.
-    pub(crate) async fn keep_membership(self: Arc<Self>) {
+    pub(crate) async fn maintain_membership(self: Arc<Self>) {
         let Some(store) = self.store() else {
             return;
         };
@@ -43,7 +43,7 @@
             let is_meeting = looks.is_multiple_of(LOOKS_PER_MEETING);
             let is_alone = self.members.lock().live_peers(self.now()).is_empty();
             if is_alone || (is_meeting && self.speaks_with_store(true)) {
-                self.look_for_members(&store).await;
+                self.read_members(&store).await;
             }
             looks += 1;
             sleep_ms(MEMBER_LOOK_AGAIN_MS).await;
@@ -56,7 +56,7 @@
         self.count_platform(written)
     }
 
-    async fn look_for_members(&self, store: &Arc<dyn Discovery>) {
+    async fn read_members(&self, store: &Arc<dyn Discovery>) {
         let read = store.members().await;
         match self.count_platform(read) {
             Ok(rows) => {
--- a/crates/pinhaven-entry/src/peers/recipients.rs
+++ b/crates/pinhaven-entry/src/peers/recipients.rs
@@ -24,29 +24,29 @@
 
 /// What an entry has to say, which decides who must hear it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Occasion {
+pub(crate) enum UpdateScope {
     /// That it lives, and what it has under way.
-    Beat,
+    Heartbeat,
     /// What the store said to this entry itself, or that it stops: nobody else would tell.
-    FirstHand,
+    Direct,
 }
 
 /// Whom an entry talks to.
 #[derive(Debug, Default)]
 pub(crate) struct Recipients {
     /// Whether this entry serves or has something under way, so that it tells each round.
-    pub(crate) sends_often: bool,
+    pub(crate) sends_every_round: bool,
     /// Entries of this failure domain that serve or have requests under way.
-    pub(crate) close: Vec<SocketAddr>,
+    pub(crate) serving_near: Vec<SocketAddr>,
     /// The same of the other failure domains.
-    pub(crate) close_far: Vec<SocketAddr>,
+    pub(crate) serving_far: Vec<SocketAddr>,
     /// Others that are told that it lives.
-    pub(crate) distant: Vec<SocketAddr>,
+    pub(crate) standby: Vec<SocketAddr>,
 }
 
 impl Entry {
     /// Whom this entry tells what it has to say.
-    pub(crate) fn recipients(&self, occasion: Occasion, now: Microseconds) -> Recipients {
+    pub(crate) fn recipients(&self, occasion: UpdateScope, now: Microseconds) -> Recipients {
         let active: BTreeSet<Incarnation> = self.peer_counts.lock().active_peers().collect();
         let members = self.members.lock();
         let own = members.own();
@@ -74,31 +74,31 @@
         let is_stopping = own.state >= MemberState::Stopping;
         let domain = &own.failure_domain;
         let mut recipients = match occasion {
-            Occasion::FirstHand => all(&close, &distant, domain),
-            Occasion::Beat if is_stopping => all(&close, &distant, domain),
-            Occasion::Beat if sends_often => Recipients {
-                close: near(&close, domain),
-                close_far: far(&close, domain),
-                distant: near_and_some(&distant, domain, OTHERS_TOLD),
+            UpdateScope::Direct => all(&close, &distant, domain),
+            UpdateScope::Heartbeat if is_stopping => all(&close, &distant, domain),
+            UpdateScope::Heartbeat if sends_often => Recipients {
+                serving_near: near(&close, domain),
+                serving_far: far(&close, domain),
+                standby: near_and_some(&distant, domain, OTHERS_TOLD),
                 ..Recipients::default()
             },
-            Occasion::Beat if is_candidate => Recipients {
-                close: near(&close, domain),
-                close_far: far(&close, domain),
-                distant: some(&distant, OTHERS_TOLD),
+            UpdateScope::Heartbeat if is_candidate => Recipients {
+                serving_near: near(&close, domain),
+                serving_far: far(&close, domain),
+                standby: some(&distant, OTHERS_TOLD),
                 ..Recipients::default()
             },
-            Occasion::Beat => Recipients {
-                close: near(&close, domain),
-                distant: some(&distant, OTHERS_TOLD_LEAST),
+            UpdateScope::Heartbeat => Recipients {
+                serving_near: near(&close, domain),
+                standby: some(&distant, OTHERS_TOLD_LEAST),
                 ..Recipients::default()
             },
         };
-        recipients.sends_often = sends_often;
+        recipients.sends_every_round = sends_often;
         if members.live_peers(now).is_empty() {
             let seeds = self.peer_seeds.load();
             let others = seeds.iter().filter(|seed| **seed != own.peer_address);
-            recipients.distant.extend(others);
+            recipients.standby.extend(others);
         }
         recipients
     }
@@ -110,9 +110,9 @@
 
 fn all(close: &[&MemberRow], distant: &[&MemberRow], domain: &FailureDomain) -> Recipients {
     Recipients {
-        close: near(close, domain),
-        close_far: far(close, domain),
-        distant: addresses(distant),
+        serving_near: near(close, domain),
+        serving_far: far(close, domain),
+        standby: addresses(distant),
         ..Recipients::default()
     }
 }
--- a/crates/pinhaven-entry/src/start.rs
+++ b/crates/pinhaven-entry/src/start.rs
@@ -170,9 +170,9 @@
     let socket = datagram_sender::listen(news_address)?;
     spawn(Arc::clone(entry).follow_configuration()).detach();
     spawn(Arc::clone(entry).keep_target_list()).detach();
-    spawn(Arc::clone(entry).keep_membership()).detach();
-    spawn(Arc::clone(entry).hear_news(Arc::clone(&socket))).detach();
-    spawn(Arc::clone(entry).tell_news(Arc::clone(&socket))).detach();
+    spawn(Arc::clone(entry).maintain_membership()).detach();
+    spawn(Arc::clone(entry).receive_datagrams(Arc::clone(&socket))).detach();
+    spawn(Arc::clone(entry).send_datagrams(Arc::clone(&socket))).detach();
     spawn(Arc::clone(entry).tell_crashes(socket)).detach();
     spawn(Arc::clone(entry).probe_speeds()).detach();
     Ok(())
