--- a/crates/pinhaven-entry/src/callers/job.rs
+++ b/crates/pinhaven-entry/src/callers/job.rs
@@ -2,7 +2,7 @@
 
 use crate::callers::body::RequestBody;
 use crate::callers::routes::Routed;
-use crate::crashes::fingerprints::RequestPrints;
+use crate::crashes::fingerprints::RequestFingerprints;
 use crate::entry::Entry;
 use crate::versions::service_entry::ServiceEntry;
 use http::HeaderMap;
@@ -31,5 +31,5 @@
     /// Where its caller connects from; nothing for a request that a peer relayed.
     pub(crate) caller: Option<CallerAddress>,
     /// Its prints, once anything has asked for them.
-    pub(crate) prints: OnceLock<RequestPrints>,
+    pub(crate) prints: OnceLock<RequestFingerprints>,
 }
--- a/crates/pinhaven-entry/src/crashes/advertise.rs
+++ b/crates/pinhaven-entry/src/crashes/advertise.rs
@@ -17,24 +17,24 @@
 use std::sync::Arc;
 
 /// Requests in a datagram that tells of a crash just now: some 25 bytes each, so that it fits into one packet.
-const TOLD_AT_ONCE: usize = 32;
+const SUSPECTS_PER_CRASH_DATAGRAM: usize = 32;
 /// Requests in another datagram, beside all else that it says.
-pub(crate) const TOLD_BESIDE: usize = 8;
+pub(crate) const SUSPECTS_PER_DATAGRAM: usize = 8;
 /// The shortest time between two datagrams that only tell of crashes, in milliseconds. A crash ends what several callers
 /// had under way there, within a few milliseconds.
 const TELL_PAUSE_MS: u64 = 10;
 
 impl Entry {
     /// Tells all other entries at once of crashes that this one has seen, for ever.
-    pub(crate) async fn tell_crashes(self: Arc<Self>, socket: Arc<DatagramSocket>) {
+    pub(crate) async fn advertise_crashes(self: Arc<Self>, socket: Arc<DatagramSocket>) {
         loop {
-            let word = self.crashes.news.listen();
+            let word = self.crashes.audience_set.listen();
             let Some(audience) = self.crashes.take_audience() else {
                 word.await;
                 continue;
             };
             sleep_ms(TELL_PAUSE_MS).await;
-            let message = self.crash_news();
+            let message = self.crash_datagram();
             let told = self.recipients_for(audience);
             send_all(&self, &socket, &told, &message).await;
         }
@@ -43,7 +43,7 @@
     /// Lets the exchanges with other entries begin at once when this one has seen a crash, for ever.
     pub(crate) async fn wake_for_crashes(self: Arc<Self>) {
         loop {
-            let word = self.crashes.news.listen();
+            let word = self.crashes.audience_set.listen();
             if self.crashes.take_audience().is_none() {
                 word.await;
                 continue;
@@ -62,8 +62,8 @@
         }
     }
 
-    fn crash_news(&self) -> News {
-        let suspects = self.suspects_to_tell(TOLD_AT_ONCE, 1);
+    fn crash_datagram(&self) -> News {
+        let suspects = self.suspects_to_advertise(SUSPECTS_PER_CRASH_DATAGRAM, 1);
         let members = self.members.lock();
         News {
             beats: vec![heartbeat_of(members.own())],
@@ -73,15 +73,17 @@
     }
 
     /// What there is to tell of `most` requests that were there at so many crashes.
-    pub(crate) fn suspects_to_tell(&self, most: usize, crashes_least: usize) -> Vec<Suspect> {
-        let facts = self.crashes.to_tell(most, crashes_least, self.now());
+    pub(crate) fn suspects_to_advertise(&self, most: usize, crashes_least: usize) -> Vec<Suspect> {
+        let facts = self
+            .crashes
+            .advertised_facts(most, crashes_least, self.now());
         facts.iter().map(to_message).collect()
     }
 
     /// Takes in what another entry tells.
-    pub(crate) fn hear_suspects(&self, suspects: &[Suspect]) {
+    pub(crate) fn merge_suspects(&self, suspects: &[Suspect]) {
         let facts: Vec<SuspectFacts> = suspects.iter().map(to_facts).collect();
-        self.hear_crashes(&facts);
+        self.merge_crash_facts(&facts);
     }
 }
 
--- a/crates/pinhaven-entry/src/crashes/fingerprints.rs
+++ b/crates/pinhaven-entry/src/crashes/fingerprints.rs
@@ -13,14 +13,14 @@
 /// The prints of a request. A path that many callers use may be harmful in the hands of one only, and a caller may
 /// come from several addresses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct RequestPrints {
+pub(crate) struct RequestFingerprints {
     /// Of this request of this caller.
     pub(crate) of_caller: RequestFingerprint,
     /// Of this request, whoever sends it.
     pub(crate) of_anyone: RequestFingerprint,
 }
 
-impl RequestPrints {
+impl RequestFingerprints {
     /// Both.
     pub(crate) fn both(self) -> [RequestFingerprint; 2] {
         [self.of_caller, self.of_anyone]
@@ -61,7 +61,7 @@
 
 impl Job {
     /// The prints of this request. They cost a hash of its body, so nobody asks before a target has crashed.
-    pub(crate) fn prints(&self) -> RequestPrints {
-        *self.prints.get_or_init(|| RequestPrints::of(self))
+    pub(crate) fn fingerprints(&self) -> RequestFingerprints {
+        *self.prints.get_or_init(|| RequestFingerprints::of(self))
     }
 }
--- a/crates/pinhaven-entry/src/crashes/record.rs
+++ b/crates/pinhaven-entry/src/crashes/record.rs
@@ -10,7 +10,7 @@
 impl Entry {
     /// Takes in that a target has crashed with a request under way.
     pub(crate) fn record_crash(&self, job: &Job, target: &TargetState) {
-        let prints = job.prints();
+        let prints = job.fingerprints();
         self.watch_crash(prints, target);
         let Some(subject) = Subject::new(job) else {
             return;
@@ -34,10 +34,10 @@
     /// Records which requests are held back now and were not before, and the reverse.
     pub(crate) fn record_held_back(&self) {
         let now = self.now();
-        for change in self.crashes.look_at_held() {
+        for change in self.crashes.update_held() {
             let (event, request) = match change {
                 HeldChange::HeldBack(request) => ("held_back", request),
-                HeldChange::LetGo(request) => ("let_go", request),
+                HeldChange::Released(request) => ("let_go", request),
             };
             let held_ms = request.until.saturating_sub(now).as_ms();
             log::warn!(
--- a/crates/pinhaven-entry/src/crashes/watch.rs
+++ b/crates/pinhaven-entry/src/crashes/watch.rs
@@ -1,7 +1,7 @@
 //! Which requests may be sent to targets, by what all entries know of crashes.
 
 use crate::callers::job::Job;
-use crate::crashes::fingerprints::RequestPrints;
+use crate::crashes::fingerprints::RequestFingerprints;
 use crate::entry::Entry;
 use parking_lot::Mutex;
 use pinhaven_decide::Audience;
@@ -30,19 +30,19 @@
     /// Who should hear at once what this entry has seen.
     audience: Mutex<Option<Audience>>,
     /// Notified when there is somebody.
-    pub(crate) news: event_listener::Event,
+    pub(crate) audience_set: event_listener::Event,
 }
 
 /// A request that began to be held back, or is not any more.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum HeldChange {
     HeldBack(HeldRequest),
-    LetGo(HeldRequest),
+    Released(HeldRequest),
 }
 
 impl CrashWatch {
     /// Looks which requests are held back, and says what has changed since the last look.
-    pub(crate) fn look_at_held(&self) -> Vec<HeldChange> {
+    pub(crate) fn update_held(&self) -> Vec<HeldChange> {
         let now = self.held_back().into_iter();
         let now: BTreeMap<_, _> = now.map(|request| (request.fingerprint, request)).collect();
         let mut before = self.held.lock();
@@ -53,7 +53,9 @@
             .values()
             .filter(|one| !now.contains_key(&one.fingerprint));
         let came = came.copied().map(HeldChange::HeldBack);
-        let changes = came.chain(went.copied().map(HeldChange::LetGo)).collect();
+        let changes = came
+            .chain(went.copied().map(HeldChange::Released))
+            .collect();
         *before = now;
         changes
     }
@@ -69,7 +71,7 @@
     }
 
     /// What there is to tell other entries, of `most` requests that were there at so many crashes.
-    pub(crate) fn to_tell(
+    pub(crate) fn advertised_facts(
         &self,
         most: usize,
         crashes_least: usize,
@@ -104,26 +106,26 @@
         changed
     }
 
-    fn tell_at_once(&self, audience: Audience) {
+    fn notify_audience(&self, audience: Audience) {
         if audience == Audience::Nobody {
             return;
         }
         let mut told = self.audience.lock();
         *told = (*told).max(Some(audience));
         drop(told);
-        self.news.notify(usize::MAX);
+        self.audience_set.notify(usize::MAX);
     }
 }
 
 impl Entry {
     /// Takes in that a target has crashed with a request under way.
-    pub(crate) fn watch_crash(&self, prints: RequestPrints, target: &TargetState) {
+    pub(crate) fn watch_crash(&self, prints: RequestFingerprints, target: &TargetState) {
         let now = self.now();
         // A small service loses the same few targets again and again; each time counts.
         let run = target.record_crash(now);
         let record = |suspects: &mut CrashSuspects| suspects.record_crash(&prints.both(), run, now);
         let audience = self.crashes.change(record);
-        self.crashes.tell_at_once(audience);
+        self.crashes.notify_audience(audience);
         self.record_held_back();
     }
 
@@ -133,16 +135,16 @@
         if !was_at_crash && !self.crashes.has_repeated() {
             return;
         }
-        let (prints, now) = (job.prints().both(), self.now());
+        let (prints, now) = (job.fingerprints().both(), self.now());
         let record = |suspects: &mut CrashSuspects| suspects.record_success(&prints, now);
         if self.crashes.change(record) {
-            self.crashes.tell_at_once(Audience::All);
+            self.crashes.notify_audience(Audience::All);
             self.record_held_back();
         }
     }
 
     /// Takes in what another entry tells of crashes.
-    pub(crate) fn hear_crashes(&self, facts: &[SuspectFacts]) {
+    pub(crate) fn merge_crash_facts(&self, facts: &[SuspectFacts]) {
         if facts.is_empty() {
             return;
         }
@@ -157,7 +159,7 @@
         if !self.crashes.has_repeated() {
             return None;
         }
-        let (prints, turn) = (job.prints().both(), self.try_turn());
+        let (prints, turn) = (job.fingerprints().both(), self.trial_turn());
         let suspects = self.crashes.suspects.lock();
         let held_for = suspects.held_back_for(&prints, false, turn, self.now());
         held_for.map(in_ms)
@@ -165,11 +167,11 @@
 
     /// Lets a request be sent, or says when it may be tried again, in milliseconds. `is_sent_on` says whether a target may
     /// have it already.
-    pub(crate) fn permit(&self, job: &Job, is_sent_on: bool) -> Result<(), u64> {
+    pub(crate) fn check_send(&self, job: &Job, is_sent_on: bool) -> Result<(), u64> {
         if !self.crashes.has_repeated() {
             return Ok(());
         }
-        let (prints, turn) = (job.prints().both(), self.try_turn());
+        let (prints, turn) = (job.fingerprints().both(), self.trial_turn());
         let mut suspects = self.crashes.suspects.lock();
         match suspects.decide_send(&prints, is_sent_on, turn, self.now()) {
             SendDecision::Allowed => Ok(()),
@@ -178,7 +180,7 @@
     }
 
     /// This entry's place among all that live, if any request may wait to be tried again.
-    fn try_turn(&self) -> Option<TrialTurn> {
+    fn trial_turn(&self) -> Option<TrialTurn> {
         if self.crashes.held.lock().is_empty() {
             return None;
         }
--- a/crates/pinhaven-entry/src/peers/datagram_receiver.rs
+++ b/crates/pinhaven-entry/src/peers/datagram_receiver.rs
@@ -66,7 +66,7 @@
             self.record_identity(identity, &news.beats);
         }
         self.record_heartbeats(&news.beats);
-        self.hear_suspects(&news.suspects);
+        self.merge_suspects(&news.suspects);
         self.hear_leaves(&news.leaving);
         let targets = news.targets.unwrap_or_default().rows();
         self.apply_target_updates(incarnation, &beat, &targets, news.is_whole);
--- a/crates/pinhaven-entry/src/peers/datagram_sender.rs
+++ b/crates/pinhaven-entry/src/peers/datagram_sender.rs
@@ -5,7 +5,7 @@
 //! the others they only tell now and then that they live. An entry that does not serve tells one that does,
 //! which passes it on.
 
-use crate::crashes::advertise::TOLD_BESIDE;
+use crate::crashes::advertise::SUSPECTS_PER_DATAGRAM;
 use crate::entry::Entry;
 use crate::error::EntryError;
 use crate::error::EntryStep;
@@ -214,7 +214,7 @@
             .await;
         let mut beat = self.message(&[], far);
         // Entries that stand by get no part of what may be innocent: it would go to all of them.
-        beat.suspects = self.suspects_to_tell(TOLD_BESIDE, REPEATED_CRASHES);
+        beat.suspects = self.suspects_to_advertise(SUSPECTS_PER_DATAGRAM, REPEATED_CRASHES);
         bytes + send_all(self, socket, &recipients.standby, &beat).await
     }
 
@@ -341,7 +341,7 @@
         let list = (extent != Extent::Round).then(|| self.list_news(self.now()));
         let suspects = match extent {
             Extent::Round => Vec::new(),
-            Extent::Whole { .. } => self.suspects_to_tell(TOLD_BESIDE, 1),
+            Extent::Whole { .. } => self.suspects_to_advertise(SUSPECTS_PER_DATAGRAM, 1),
         };
         let leaving = match extent {
             Extent::Round => Vec::new(),
--- a/crates/pinhaven-entry/src/peers/gossip.rs
+++ b/crates/pinhaven-entry/src/peers/gossip.rs
@@ -3,7 +3,7 @@
 //! Each round an entry talks to one peer, drawn by lot; news goes to several at once. A message names
 //! a bounded number of members, so that its size does not grow with the number of entries.
 
-use crate::crashes::advertise::TOLD_BESIDE;
+use crate::crashes::advertise::SUSPECTS_PER_DATAGRAM;
 use crate::entry::Entry;
 use crate::once_only::relayed;
 use crate::peers::gossip_message::HEARTBEATS_MAX;
@@ -133,7 +133,7 @@
     }
 
     fn exchange_request(&self) -> ExchangeRequest {
-        let suspects = self.suspects_to_tell(TOLD_BESIDE, 1);
+        let suspects = self.suspects_to_advertise(SUSPECTS_PER_DATAGRAM, 1);
         let members = self.members.lock();
         let wanted = self.unknown_members.lock();
         ExchangeRequest {
@@ -148,7 +148,7 @@
     /// Takes a peer's answer in; returns the version that the peer itself has in force.
     fn record_response(&self, response: ExchangeResponse) -> BundleVersion {
         self.hear_leaving(&response.leaving);
-        self.hear_suspects(&response.suspects);
+        self.merge_suspects(&response.suspects);
         let newest = self.record_sender(response.sender, &response.beats);
         for identity in response.identities {
             self.record_identity(identity, &response.beats);
@@ -272,7 +272,7 @@
         let request = request.into_inner();
         let received = request.encoded_len() as u64;
         entry.hear_leaving(&request.leaving);
-        entry.hear_suspects(&request.suspects);
+        entry.merge_suspects(&request.suspects);
         let sender = request.sender.as_ref().and_then(peer_address_of);
         let newest = entry.record_sender(request.sender, &request.beats);
         entry.record_heartbeats(&request.beats);
@@ -306,7 +306,7 @@
 }
 
 fn answer_exchange(entry: &Entry, wanted: &[Vec<u8>]) -> ExchangeResponse {
-    let suspects = entry.suspects_to_tell(TOLD_BESIDE, 1);
+    let suspects = entry.suspects_to_advertise(SUSPECTS_PER_DATAGRAM, 1);
     let members = entry.members.lock();
     let rows = members.rows();
     let wanted: Vec<Incarnation> = wanted
--- a/crates/pinhaven-entry/src/request/dispatch.rs
+++ b/crates/pinhaven-entry/src/request/dispatch.rs
@@ -212,7 +212,7 @@
     fn send(&mut self, attempt: Attempt) {
         // What is known of the request may have changed since it arrived, also by its own last attempt.
         let is_sent_on = self.may_have_run || !self.under_way.is_empty();
-        if let Err(for_ms) = self.job.entry.permit(self.job, is_sent_on) {
+        if let Err(for_ms) = self.job.entry.check_send(self.job, is_sent_on) {
             let end = AttemptEnd::HeldBack { for_ms };
             let outcome = Box::pin(std::future::ready(end));
             return self.under_way.push(UnderWay { attempt, outcome });
--- a/crates/pinhaven-entry/src/start.rs
+++ b/crates/pinhaven-entry/src/start.rs
@@ -173,7 +173,7 @@
     spawn(Arc::clone(entry).maintain_membership()).detach();
     spawn(Arc::clone(entry).receive_datagrams(Arc::clone(&socket))).detach();
     spawn(Arc::clone(entry).send_datagrams(Arc::clone(&socket))).detach();
-    spawn(Arc::clone(entry).tell_crashes(socket)).detach();
+    spawn(Arc::clone(entry).advertise_crashes(socket)).detach();
     spawn(Arc::clone(entry).probe_speeds()).detach();
     Ok(())
 }
