--- a/crates/pinhaven-entry/src/crashes/advertise.rs
+++ b/crates/pinhaven-entry/src/crashes/advertise.rs
@@ -1,4 +1,7 @@
-//! Telling other entries which requests were under way when targets crashed.
+//! Advertises to other entries which requests were in flight when targets crashed, and receives their evidence.
+//!
+//! A new crash is sent at once. Afterwards the evidence is repeated in datagrams and exchanges that are sent anyway, so
+//! that a lost datagram is compensated.
 
 use crate::entry::Entry;
 use crate::peers::datagram_sender::DatagramSocket;
@@ -16,39 +19,39 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Requests in a datagram that tells of a crash just now: some 25 bytes each, so that it fits into one packet.
+/// Maximum number of requests in a datagram about a new crash. At about 25 bytes each they fit into one packet.
 const SUSPECTS_PER_CRASH_DATAGRAM: usize = 32;
-/// Requests in another datagram, beside all else that it says.
+/// Maximum number of requests in any other message to a peer, which carries other data too.
 pub(crate) const SUSPECTS_PER_DATAGRAM: usize = 8;
-/// The shortest time between two datagrams that only tell of crashes, in milliseconds. A crash ends what several callers
-/// had under way there, within a few milliseconds.
-const TELL_PAUSE_MS: u64 = 10;
+/// Delay before new crashes are sent, in milliseconds, and therefore the minimum interval between these datagrams. A
+/// crash ends the requests of several callers within a few milliseconds; one datagram covers them all.
+const ADVERTISE_DELAY_MS: u64 = 10;
 
 impl Entry {
-    /// Tells all other entries at once of crashes that this one has seen, for ever.
+    /// Sends crashes that this entry observes to its peers at once. Runs until the process exits.
     pub(crate) async fn advertise_crashes(self: Arc<Self>, socket: Arc<DatagramSocket>) {
         loop {
-            let word = self.crashes.audience_set.listen();
+            let audience_set = self.crashes.audience_set.listen();
             let Some(audience) = self.crashes.take_audience() else {
-                word.await;
+                audience_set.await;
                 continue;
             };
-            sleep_ms(TELL_PAUSE_MS).await;
+            sleep_ms(ADVERTISE_DELAY_MS).await;
             let message = self.crash_datagram();
-            let told = self.recipients_for(audience);
-            send_all(&self, &socket, &told, &message).await;
+            let peers = self.recipients_for(audience);
+            send_all(&self, &socket, &peers, &message).await;
         }
     }
 
-    /// Lets the exchanges with other entries begin at once when this one has seen a crash, for ever.
+    /// Starts an exchange with peers at once when this entry observes a crash. Runs until the process exits.
     pub(crate) async fn wake_for_crashes(self: Arc<Self>) {
         loop {
-            let word = self.crashes.audience_set.listen();
+            let audience_set = self.crashes.audience_set.listen();
             if self.crashes.take_audience().is_none() {
-                word.await;
+                audience_set.await;
                 continue;
             }
-            sleep_ms(TELL_PAUSE_MS).await;
+            sleep_ms(ADVERTISE_DELAY_MS).await;
             self.news.notify(usize::MAX);
         }
     }
@@ -72,15 +75,19 @@
         }
     }
 
-    /// What there is to tell of `most` requests that were there at so many crashes.
-    pub(crate) fn suspects_to_advertise(&self, most: usize, crashes_least: usize) -> Vec<Suspect> {
+    /// Evidence on at most `suspects_max` requests that were in flight at `crashes_min` crashes or more, as messages.
+    pub(crate) fn suspects_to_advertise(
+        &self,
+        suspects_max: usize,
+        crashes_min: usize,
+    ) -> Vec<Suspect> {
         let facts = self
             .crashes
-            .advertised_facts(most, crashes_least, self.now());
+            .advertised_facts(suspects_max, crashes_min, self.now());
         facts.iter().map(to_message).collect()
     }
 
-    /// Takes in what another entry tells.
+    /// Merges the evidence that another entry sent.
     pub(crate) fn merge_suspects(&self, suspects: &[Suspect]) {
         let facts: Vec<SuspectFacts> = suspects.iter().map(to_facts).collect();
         self.merge_crash_facts(&facts);
@@ -100,7 +107,7 @@
     }
 }
 
-/// Crashes whose age a bad sender left out are missing.
+/// Crashes for which the message has no age are left out.
 fn to_facts(suspect: &Suspect) -> SuspectFacts {
     let crashes = suspect.crashed_runs.iter().zip(&suspect.crashed_ago_ms);
     let crashes = crashes.map(|(run, ago_ms)| {
--- a/crates/pinhaven-entry/src/crashes/fingerprints.rs
+++ b/crates/pinhaven-entry/src/crashes/fingerprints.rs
@@ -1,4 +1,4 @@
-//! What makes two requests of callers the same.
+//! Fingerprints of callers' requests. Crash evidence treats requests with equal fingerprints as one request.
 
 use crate::callers::job::Job;
 use http::HeaderMap;
@@ -10,23 +10,23 @@
 use pinhaven_types::Digest;
 use pinhaven_types::RequestFingerprint;
 
-/// The prints of a request. A path that many callers use may be harmful in the hands of one only, and a caller may
-/// come from several addresses.
+/// The fingerprints of a request. Evidence is recorded with and without the caller: a path that many callers use may be
+/// harmful only in the requests of one caller, and one caller may use several addresses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct RequestFingerprints {
-    /// Of this request of this caller.
+    /// Covers the request and its caller.
     pub(crate) of_caller: RequestFingerprint,
-    /// Of this request, whoever sends it.
+    /// Covers the request alone.
     pub(crate) of_anyone: RequestFingerprint,
 }
 
 impl RequestFingerprints {
-    /// Both.
+    /// Both fingerprints.
     pub(crate) fn both(self) -> [RequestFingerprint; 2] {
         [self.of_caller, self.of_anyone]
     }
 
-    /// The prints of a request. A body that is passed on as it comes is known by its length only.
+    /// Computes the fingerprints of a request. A streamed body contributes its declared length only.
     fn of(job: &Job) -> Self {
         let host = job.uri.authority().map(|host| host.as_str().as_bytes());
         let host = host.unwrap_or_else(|| field(&job.headers, HOST.as_str()));
@@ -50,7 +50,7 @@
     }
 }
 
-/// The address of a caller without its port, which each connection has another of.
+/// The IP address of a caller, without the port, which differs between connections.
 fn address_of(caller: CallerAddress) -> String {
     caller.0.ip().to_string()
 }
@@ -60,7 +60,8 @@
 }
 
 impl Job {
-    /// The prints of this request. They cost a hash of its body, so nobody asks before a target has crashed.
+    /// Fingerprints of this request, computed on first use because they require a hash of the body. They are not needed
+    /// until a target has crashed.
     pub(crate) fn fingerprints(&self) -> RequestFingerprints {
         *self.prints.get_or_init(|| RequestFingerprints::of(self))
     }
--- a/crates/pinhaven-entry/src/crashes/mod.rs
+++ b/crates/pinhaven-entry/src/crashes/mod.rs
@@ -1,7 +1,8 @@
-//! Targets that crash while they work, and which requests were under way there.
+//! Crashes of targets, and the requests that were in flight at the crashed targets.
 //!
-//! `request` tells what became of attempts and asks whether one may be sent; `pinhaven-decide` judges. What is known goes
-//! to other entries with the news of `peers`, at once where it is news.
+//! `request` reports the outcomes of attempts and checks whether an attempt may be sent. `pinhaven-decide` evaluates
+//! the evidence. `peers` carries the evidence to other entries in datagrams and exchanges; new evidence is sent at
+//! once.
 
 pub(crate) mod advertise;
 pub(crate) mod fingerprints;
--- a/crates/pinhaven-entry/src/crashes/record.rs
+++ b/crates/pinhaven-entry/src/crashes/record.rs
@@ -1,4 +1,4 @@
-//! Recording which requests were under way at a target that crashed, and which are held back for it.
+//! Records which requests were in flight at a crashed target, and which requests are held back.
 
 use crate::callers::job::Job;
 use crate::crashes::watch::HeldChange;
@@ -8,10 +8,10 @@
 use pinhaven_record::Line;
 
 impl Entry {
-    /// Takes in that a target has crashed with a request under way.
+    /// Records that a target crashed with a request in flight.
     pub(crate) fn record_crash(&self, job: &Job, target: &TargetState) {
-        let prints = job.fingerprints();
-        self.watch_crash(prints, target);
+        let fingerprints = job.fingerprints();
+        self.watch_crash(fingerprints, target);
         let Some(subject) = Subject::new(job) else {
             return;
         };
@@ -22,8 +22,8 @@
                 .with("id", subject.id())
                 .with("method", job.method.as_str())
                 .with("path", job.uri.path())
-                .with("print", prints.of_caller.to_string())
-                .with("print_of_anyone", prints.of_anyone.to_string());
+                .with("print", fingerprints.of_caller.to_string())
+                .with("print_of_anyone", fingerprints.of_anyone.to_string());
             match target.incarnation() {
                 Some(incarnation) => line.with("incarnation", incarnation.started_unix_ms()),
                 None => line,
@@ -31,7 +31,7 @@
         });
     }
 
-    /// Records which requests are held back now and were not before, and the reverse.
+    /// Records which requests have been held back or released since the last call.
     pub(crate) fn record_held_back(&self) {
         let now = self.now();
         for change in self.crashes.update_held() {
@@ -42,7 +42,7 @@
             let held_ms = request.until.saturating_sub(now).as_ms();
             log::warn!(
                 target: "crashes",
-                "Request {} {}: {} targets crashed with it under way, {} answers were good.",
+                "Request {} {}: {} targets crashed with it in flight, {} successful answers.",
                 request.fingerprint, event, request.crashes, request.successes
             );
             self.record_line(|| {
--- a/crates/pinhaven-entry/src/crashes/watch.rs
+++ b/crates/pinhaven-entry/src/crashes/watch.rs
@@ -1,4 +1,7 @@
-//! Which requests may be sent to targets, by what all entries know of crashes.
+//! Decides whether a request may be sent to a target, from the crash evidence of all entries.
+//!
+//! Outcomes of attempts and the evidence of peers come in. The evidence and the rules are in `pinhaven-decide`; this
+//! module holds them for the tasks of the entry and notes whom to notify of new evidence.
 
 use crate::callers::job::Job;
 use crate::crashes::fingerprints::RequestFingerprints;
@@ -17,23 +20,24 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
-/// What this entry knows of crashes. Requests look at a flag and no further until one was there at two crashes, so that
-/// they cost nothing more on other days.
+/// Crash evidence of this entry. Until some request was in flight at two crashes, the request path checks only an
+/// atomic flag and takes no lock.
 #[derive(Default)]
 pub(crate) struct CrashWatch {
+    /// Whether there is evidence on any request.
     has_suspects: AtomicBool,
-    /// Whether any request was there at more than one crash.
+    /// Whether any request was in flight at more than one crash.
     has_repeated: AtomicBool,
     suspects: Mutex<CrashSuspects>,
-    /// Requests that were held back when it was last looked, for the record.
+    /// Requests that were held back at the last update, to record changes.
     held: Mutex<BTreeMap<RequestFingerprint, HeldRequest>>,
-    /// Who should hear at once what this entry has seen.
+    /// Which entries should receive new evidence at once, if any.
     audience: Mutex<Option<Audience>>,
-    /// Notified when there is somebody.
+    /// Notified when `audience` is set.
     pub(crate) audience_set: event_listener::Event,
 }
 
-/// A request that began to be held back, or is not any more.
+/// A request that began to be held back or was released.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum HeldChange {
     HeldBack(HeldRequest),
@@ -41,26 +45,26 @@
 }
 
 impl CrashWatch {
-    /// Looks which requests are held back, and says what has changed since the last look.
+    /// Updates the set of requests that are held back. Returns the changes since the last update.
     pub(crate) fn update_held(&self) -> Vec<HeldChange> {
         let now = self.held_back().into_iter();
         let now: BTreeMap<_, _> = now.map(|request| (request.fingerprint, request)).collect();
         let mut before = self.held.lock();
-        let came = now
+        let began = now
             .values()
-            .filter(|one| !before.contains_key(&one.fingerprint));
-        let went = before
+            .filter(|request| !before.contains_key(&request.fingerprint));
+        let ended = before
             .values()
-            .filter(|one| !now.contains_key(&one.fingerprint));
-        let came = came.copied().map(HeldChange::HeldBack);
-        let changes = came
-            .chain(went.copied().map(HeldChange::Released))
+            .filter(|request| !now.contains_key(&request.fingerprint));
+        let began = began.copied().map(HeldChange::HeldBack);
+        let changes = began
+            .chain(ended.copied().map(HeldChange::Released))
             .collect();
         *before = now;
         changes
     }
 
-    /// Who should hear at once what this entry has seen, if anybody; it counts as told.
+    /// Takes the entries that should receive new evidence at once, if any. The caller must notify them.
     pub(crate) fn take_audience(&self) -> Option<Audience> {
         self.audience.lock().take()
     }
@@ -70,11 +74,12 @@
         self.suspects.lock().held_back()
     }
 
-    /// What there is to tell other entries, of `most` requests that were there at so many crashes.
+    /// Evidence for other entries on at most `suspects_max` requests that were in flight at `crashes_min` or more
+    /// crashes.
     pub(crate) fn advertised_facts(
         &self,
-        most: usize,
-        crashes_least: usize,
+        suspects_max: usize,
+        crashes_min: usize,
         now: Microseconds,
     ) -> Vec<SuspectFacts> {
         if !self.has_suspects() {
@@ -82,9 +87,9 @@
         }
         let mut random = fastrand::Rng::new();
         self.change(|suspects| {
-            // Rounds of news come when nothing else does.
+            // Datagrams are sent also when nothing else happens, so expired evidence is removed here.
             suspects.forget(now);
-            suspects.advertised_facts(most, crashes_least, now, &mut random)
+            suspects.advertised_facts(suspects_max, crashes_min, now, &mut random)
         })
     }
 
@@ -110,40 +115,41 @@
         if audience == Audience::Nobody {
             return;
         }
-        let mut told = self.audience.lock();
-        *told = (*told).max(Some(audience));
-        drop(told);
+        let mut pending = self.audience.lock();
+        *pending = (*pending).max(Some(audience));
+        drop(pending);
         self.audience_set.notify(usize::MAX);
     }
 }
 
 impl Entry {
-    /// Takes in that a target has crashed with a request under way.
-    pub(crate) fn watch_crash(&self, prints: RequestFingerprints, target: &TargetState) {
+    /// Records a crash of a target as evidence on a request that was in flight there.
+    pub(crate) fn watch_crash(&self, fingerprints: RequestFingerprints, target: &TargetState) {
         let now = self.now();
-        // A small service loses the same few targets again and again; each time counts.
+        // In a small service the same few targets crash repeatedly; each crash counts as a separate run.
         let run = target.record_crash(now);
-        let record = |suspects: &mut CrashSuspects| suspects.record_crash(&prints.both(), run, now);
+        let record =
+            |suspects: &mut CrashSuspects| suspects.record_crash(&fingerprints.both(), run, now);
         let audience = self.crashes.change(record);
         self.crashes.notify_audience(audience);
         self.record_held_back();
     }
 
-    /// Takes in that a target answered a request well.
+    /// Records a success of a request if there is evidence on the request or some request was in flight at two crashes.
     pub(crate) fn watch_answer(&self, job: &Job) {
         let was_at_crash = job.prints.get().is_some();
         if !was_at_crash && !self.crashes.has_repeated() {
             return;
         }
-        let (prints, now) = (job.fingerprints().both(), self.now());
-        let record = |suspects: &mut CrashSuspects| suspects.record_success(&prints, now);
+        let (fingerprints, now) = (job.fingerprints().both(), self.now());
+        let record = |suspects: &mut CrashSuspects| suspects.record_success(&fingerprints, now);
         if self.crashes.change(record) {
             self.crashes.notify_audience(Audience::All);
             self.record_held_back();
         }
     }
 
-    /// Takes in what another entry tells of crashes.
+    /// Merges the crash evidence of another entry.
     pub(crate) fn merge_crash_facts(&self, facts: &[SuspectFacts]) {
         if facts.is_empty() {
             return;
@@ -154,32 +160,35 @@
         self.record_held_back();
     }
 
-    /// When a request that arrives may be tried again, in milliseconds; `None` if it may be sent now.
+    /// Time until an arriving request may be retried, in milliseconds; `None` if it may be sent now.
     pub(crate) fn held_back_for_ms(&self, job: &Job) -> Option<u64> {
         if !self.crashes.has_repeated() {
             return None;
         }
-        let (prints, turn) = (job.fingerprints().both(), self.trial_turn());
+        let (fingerprints, trial_turn) = (job.fingerprints().both(), self.trial_turn());
         let suspects = self.crashes.suspects.lock();
-        let held_for = suspects.held_back_for(&prints, false, turn, self.now());
+        let held_for = suspects.held_back_for(&fingerprints, false, trial_turn, self.now());
         held_for.map(in_ms)
     }
 
-    /// Lets a request be sent, or says when it may be tried again, in milliseconds. `is_sent_on` says whether a target may
-    /// have it already.
+    /// Checks whether a request may be sent to a target. `is_sent_on` is set if an earlier target may have received it.
+    ///
+    /// # Errors
+    ///
+    /// The time until the request may be retried, in milliseconds, if the request is held back.
     pub(crate) fn check_send(&self, job: &Job, is_sent_on: bool) -> Result<(), u64> {
         if !self.crashes.has_repeated() {
             return Ok(());
         }
-        let (prints, turn) = (job.fingerprints().both(), self.trial_turn());
+        let (fingerprints, trial_turn) = (job.fingerprints().both(), self.trial_turn());
         let mut suspects = self.crashes.suspects.lock();
-        match suspects.decide_send(&prints, is_sent_on, turn, self.now()) {
+        match suspects.decide_send(&fingerprints, is_sent_on, trial_turn, self.now()) {
             SendDecision::Allowed => Ok(()),
             SendDecision::HeldBack { for_us } => Err(in_ms(for_us)),
         }
     }
 
-    /// This entry's place among all that live, if any request may wait to be tried again.
+    /// The rank of this entry among all live entries; `None` if no request is held back or awaits a trial.
     fn trial_turn(&self) -> Option<TrialTurn> {
         if self.crashes.held.lock().is_empty() {
             return None;
