--- a/crates/pinhaven-entry/src/peers/gossip.rs
+++ b/crates/pinhaven-entry/src/peers/gossip.rs
@@ -1,7 +1,7 @@
-//! Talking to the other entries: membership, versions and leaving targets.
+//! Exchanges membership, bundle versions and leaving targets with other entries by RPC.
 //!
-//! Each round an entry talks to one peer, drawn by lot; news goes to several at once. A message names
-//! a bounded number of members, so that its size does not grow with the number of entries.
+//! Each round an entry exchanges with one random peer; a newly leaving target is sent to several peers at once. A
+//! message names a bounded number of members, so that its size does not grow with the number of entries.
 
 use crate::crashes::advertise::SUSPECTS_PER_DATAGRAM;
 use crate::entry::Entry;
@@ -44,19 +44,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Members asked about in one message.
+/// Maximum number of members whose description one message requests.
 const WANTED_MAX: usize = 20;
-/// Peers that are told news at once.
-const NEWS_FAN_OUT: usize = 4;
-/// How long a peer may take for an exchange.
+/// Number of peers that receive an urgent update at once.
+const UPDATE_FAN_OUT: usize = 4;
+/// Timeout of an exchange with a peer.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Rounds between two looks at the platform's list of entries.
+/// Number of rounds between two reads of the platform's list of entries.
 const ROUNDS_PER_LISTING: u64 = 20;
-/// Time between two tries to write this entry's row, in milliseconds.
+/// Delay between two attempts to write this entry's row, in milliseconds.
 const ROW_RETRY_MS: u64 = 1_000;
 
 impl Entry {
-    /// Talks to peers for ever.
+    /// Exchanges with peers in rounds. Runs until the process exits.
     pub(crate) async fn gossip(self: Arc<Self>) {
         let mut random = fastrand::Rng::new();
         let mut rounds: u64 = 0;
@@ -64,22 +64,22 @@
             if rounds.is_multiple_of(ROUNDS_PER_LISTING) {
                 self.list_entries().await;
             }
-            let has_news = self.begin_gossip_round();
+            let has_updates = self.begin_gossip_round();
             let mut peers = self.known_peer_addresses();
             random.shuffle(&mut peers);
-            let fan_out = if has_news { NEWS_FAN_OUT } else { 1 };
+            let fan_out = if has_updates { UPDATE_FAN_OUT } else { 1 };
             let (first, rest) = peers.split_at(peers.len().min(1));
             self.exchange_with_all(&rest[..rest.len().min(fan_out - 1)]);
-            // Listening begins before the exchange, so that what it brings is not missed.
-            let news = self.news.listen();
+            // The listener is created before the exchange, so that a notification during the exchange is not missed.
+            let urgent_update = self.news.listen();
             if let Some(peer) = first.first() {
                 self.exchange_with(*peer).await;
             }
             rounds += 1;
             let round = Duration::from_millis(self.settings.gossip_ms);
-            if within(round, news).await.is_some() {
+            if within(round, urgent_update).await.is_some() {
                 self.begin_gossip_round();
-                self.exchange_with_all(&peers[..peers.len().min(NEWS_FAN_OUT)]);
+                self.exchange_with_all(&peers[..peers.len().min(UPDATE_FAN_OUT)]);
             }
         }
     }
@@ -93,19 +93,19 @@
         }
     }
 
-    /// Beats the heart once. Returns whether there is news of leaving targets.
+    /// Advances the heartbeat and removes silent members. Returns whether any target is newly leaving.
     fn begin_gossip_round(&self) -> bool {
         let snapshot = self.snapshot.load();
         let now = self.now();
-        let has_news = self.leaving.lock().gather(&snapshot, now);
+        let has_updates = self.leaving.lock().gather(&snapshot, now);
         let epoch = self.ledger.lock().epoch().0;
         let mut members = self.members.lock();
         members.beat(snapshot.version, epoch);
         members.forget_silent(now);
-        has_news
+        has_updates
     }
 
-    /// Exchanges with one peer, and takes its newer version if it has one.
+    /// Exchanges with one peer, and starts to fetch the peer's version if that version is newer.
     pub(crate) async fn exchange_with(self: &Arc<Self>, peer: SocketAddr) {
         use prost::Message as _;
         let request = self.exchange_request();
@@ -123,10 +123,12 @@
         };
         let received = response.encoded_len() as u64;
         self.counters.add_many(Count::PeerBytes, received);
-        let newest = self.record_response(response);
-        if newest > self.version.lock().version() {
-            self.version_lag.lock().record_known(newest, self.now());
-            // A large version may take long; heartbeats must go on meanwhile.
+        let peer_version = self.record_response(response);
+        if peer_version > self.version.lock().version() {
+            self.version_lag
+                .lock()
+                .record_known(peer_version, self.now());
+            // Fetching a large version may take long, so a separate task fetches it and heartbeats continue.
             let entry = Arc::clone(self);
             pinhaven_runtime::spawn(async move { entry.fetch_from(peer).await }).detach();
         }
@@ -145,19 +147,19 @@
         }
     }
 
-    /// Takes a peer's answer in; returns the version that the peer itself has in force.
+    /// Records a peer's answer. Returns the version that the peer has in force.
     fn record_response(&self, response: ExchangeResponse) -> BundleVersion {
         self.hear_leaving(&response.leaving);
         self.merge_suspects(&response.suspects);
-        let newest = self.record_sender(response.sender, &response.beats);
+        let peer_version = self.record_sender(response.sender, &response.beats);
         for identity in response.identities {
             self.record_identity(identity, &response.beats);
         }
         self.record_heartbeats(&response.beats);
-        newest
+        peer_version
     }
 
-    /// Takes in what a peer says of itself; returns its version in force.
+    /// Records what a peer reports about itself. Returns the version that the peer has in force.
     pub(crate) fn record_sender(&self, sender: Option<Identity>, beats: &[Beat]) -> BundleVersion {
         let row = sender.and_then(|sender| row_of(sender, beats));
         let Some(row) = row else {
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Reads the platform's list of entries.
+    /// Reads the platform's list of entries and records its rows as members.
     async fn list_entries(&self) {
         let listed = self.table.list(ENTRY_PREFIX).await;
         let Ok(rows) = self.count_platform(listed) else {
@@ -220,12 +222,12 @@
         }
     }
 
-    /// Writes this entry's own row, trying until the platform takes it.
+    /// Writes this entry's row, and retries until the platform accepts it.
     pub(crate) async fn write_own_row(&self) {
         loop {
             match self.try_write_own_row().await {
                 Ok(()) => return,
-                Err(error) => log::warn!(target: "gossip", "The own row is not written: {error}."),
+                Err(error) => log::warn!(target: "gossip", "Writing the own row failed: {error}."),
             }
             sleep_ms(ROW_RETRY_MS).await;
         }
@@ -245,7 +247,7 @@
     }
 }
 
-/// What an entry wrote of itself under its own key.
+/// Parses the row that an entry wrote under its own key.
 fn to_member(row: &Row) -> Result<MemberRow, RowFault> {
     let member: MemberRow = serde_json::from_str(&row.value).map_err(RowFault::form)?;
     let name = row.key.strip_prefix(ENTRY_PREFIX);
@@ -258,7 +260,7 @@
     Ok(member)
 }
 
-/// Answers to peers.
+/// Serves the RPCs of peers.
 pub(crate) struct PeerAnswers(pub(crate) Arc<Entry>);
 
 #[async_trait]
@@ -274,12 +276,15 @@
         entry.hear_leaving(&request.leaving);
         entry.merge_suspects(&request.suspects);
         let sender = request.sender.as_ref().and_then(peer_address_of);
-        let newest = entry.record_sender(request.sender, &request.beats);
+        let peer_version = entry.record_sender(request.sender, &request.beats);
         entry.record_heartbeats(&request.beats);
-        if newest > entry.version.lock().version()
+        if peer_version > entry.version.lock().version()
             && let Some(peer) = sender
         {
-            entry.version_lag.lock().record_known(newest, entry.now());
+            entry
+                .version_lag
+                .lock()
+                .record_known(peer_version, entry.now());
             let entry = Arc::clone(entry);
             pinhaven_runtime::spawn(async move { entry.fetch_from(peer).await }).detach();
         }
@@ -314,14 +319,14 @@
         .take(WANTED_MAX)
         .filter_map(|bytes| to_incarnation(bytes))
         .collect();
-    let asked_for: Vec<&MemberRow> = rows
+    let requested: Vec<&MemberRow> = rows
         .iter()
         .filter(|row| wanted.contains(&row.incarnation))
         .collect();
-    let identities = asked_for.iter().map(|row| identity_of(row)).collect();
-    let mut beats: Vec<Beat> = asked_for.iter().map(|row| heartbeat_of(row)).collect();
+    let identities = requested.iter().map(|row| identity_of(row)).collect();
+    let mut beats: Vec<Beat> = requested.iter().map(|row| heartbeat_of(row)).collect();
     let sender = Some(identity_of(members.own()));
-    drop(asked_for);
+    drop(requested);
     beats.extend(sample_heartbeats(rows));
     ExchangeResponse {
         sender,
--- a/crates/pinhaven-entry/src/peers/gossip_message.rs
+++ b/crates/pinhaven-entry/src/peers/gossip_message.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other, as messages and as rows.
+//! Converts between the rows of members and the messages of the protocol between entries.
 
 use pinhaven_agree::MemberRow;
 use pinhaven_agree::MemberState;
@@ -9,10 +9,10 @@
 use pinhaven_types::RequestRate;
 use std::net::SocketAddr;
 
-/// Members named in one message.
+/// Maximum number of members in one message.
 pub(crate) const HEARTBEATS_MAX: usize = 20;
 
-/// Beats of the first row, which is the sender's, and of others drawn by lot.
+/// Heartbeats of the first row, which is the sender's, and of random other rows.
 pub(crate) fn sample_heartbeats(mut rows: Vec<MemberRow>) -> Vec<Beat> {
     if rows.len() > HEARTBEATS_MAX {
         fastrand::shuffle(&mut rows[1..]);
@@ -79,7 +79,8 @@
     }
 }
 
-/// A state that this version does not know is taken for the last one, so that nobody is sent there.
+/// Converts the number of a state. An unknown number, from another release, counts as [`MemberState::Gone`], so that no
+/// request is sent to that entry.
 pub(crate) fn to_state(number: u32) -> MemberState {
     [
         MemberState::Starting,
--- a/crates/pinhaven-entry/src/peers/mod.rs
+++ b/crates/pinhaven-entry/src/peers/mod.rs
@@ -1,7 +1,7 @@
-//! What entries tell each other.
+//! Communication between entries.
 //!
-//! Datagrams and calls of other entries come in and go out: who lives, what each has under way, versions and leaving
-//! targets. Run as tasks by `start`.
+//! Datagrams and RPCs carry the live members, their requests in flight, bundle versions and leaving targets. `start`
+//! runs the senders and receivers as tasks.
 
 pub(crate) mod datagram_receiver;
 pub(crate) mod datagram_sender;
--- a/crates/pinhaven-entry/src/peers/peer_counts.rs
+++ b/crates/pinhaven-entry/src/peers/peer_counts.rs
@@ -1,4 +1,6 @@
-//! Gathering what this entry has to say of targets, and taking in what others say.
+//! Requests in flight at targets, as entries advertise them to each other.
+//!
+//! Collects the updates on targets that this entry advertises, and records the updates of its peers.
 
 use crate::versions::snapshot::KeyedTarget;
 use crate::versions::snapshot::Snapshot;
@@ -11,55 +13,55 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// An entry that was silent for this long has no requests under way as far as the others count. Three
-/// whole datagrams are missing then.
-const COUNTS_HOLD_FOR: Microseconds = Microseconds::from_ms(1_600);
+/// Silence of a peer after which its requests in flight are no longer counted. Three full datagrams are missing by
+/// then.
+const COUNTS_EXPIRE_AFTER: Microseconds = Microseconds::from_ms(1_600);
 
-/// What there is to tell of targets: what is worth telling now, as [`AdvertisedTargets`] has it.
+/// Updates on all targets whose state should be advertised now according to [`AdvertisedTargets`].
 pub(crate) fn collect_updates(
-    told: &mut AdvertisedTargets,
+    advertised: &mut AdvertisedTargets,
     snapshot: &Snapshot,
     now: Microseconds,
-    is_whole: bool,
+    is_full: bool,
 ) -> Vec<TargetNews> {
     let targets = snapshot.keyed_targets();
-    let mut news = Vec::new();
+    let mut updates = Vec::new();
     for (key, KeyedTarget { target, .. }) in targets {
         let report = target.directly_reported_speed();
-        let facts = AdvertisedState {
+        let state = AdvertisedState {
             in_flight: target.in_flight(),
             report_at: report.map_or(Microseconds::ZERO, |(_, at)| at),
         };
-        let fresh = report.filter(|_| told.is_report_new(*key, &facts));
-        if !told.should_advertise(*key, facts, is_whole, now) {
+        let new_report = report.filter(|_| advertised.is_report_new(*key, &state));
+        if !advertised.should_advertise(*key, state, is_full, now) {
             continue;
         }
-        news.push(TargetNews {
+        updates.push(TargetNews {
             key: *key,
-            in_flight: facts.in_flight,
-            slowdown_tenths: fresh.map_or(0, |(slowdown, _)| (slowdown * 10.0).round() as u32),
-            age_ms: fresh.map_or(0, |(_, at)| now.saturating_sub(at).as_ms() as u32),
+            in_flight: state.in_flight,
+            slowdown_tenths: new_report.map_or(0, |(slowdown, _)| (slowdown * 10.0).round() as u32),
+            age_ms: new_report.map_or(0, |(_, at)| now.saturating_sub(at).as_ms() as u32),
         });
     }
-    if told.len() > targets.len() {
-        told.retain(|key| targets.contains_key(&key));
+    if advertised.len() > targets.len() {
+        advertised.retain(|key| targets.contains_key(&key));
     }
-    news
+    updates
 }
 
-/// The requests that one other entry has at targets.
+/// Requests of one peer in flight at targets.
 struct PeerCount {
     heartbeat: u64,
-    heard_at: Microseconds,
+    received_at: Microseconds,
     counts: HashMap<u32, (Arc<TargetState>, u32)>,
 }
 
 impl PeerCount {
     fn set(&mut self, key: u32, target: &Arc<TargetState>, count: u32) {
         let before = match self.counts.insert(key, (Arc::clone(target), count)) {
-            Some((held, before)) if Arc::ptr_eq(&held, target) => before,
-            Some((held, before)) => {
-                held.record_peer_in_flight(before, 0);
+            Some((known, before)) if Arc::ptr_eq(&known, target) => before,
+            Some((known, before)) => {
+                known.record_peer_in_flight(before, 0);
                 0
             }
             None => 0,
@@ -70,9 +72,9 @@
         }
     }
 
-    fn clear_all_but(&mut self, named: &[TargetNews]) {
+    fn clear_except(&mut self, named: &[TargetNews]) {
         self.counts.retain(|key, (target, count)| {
-            let is_named = named.iter().any(|news| news.key == *key);
+            let is_named = named.iter().any(|update| update.key == *key);
             if !is_named {
                 target.record_peer_in_flight(*count, 0);
             }
@@ -81,63 +83,63 @@
     }
 }
 
-/// The requests that the other entries have at targets.
+/// Requests of all peers in flight at targets.
 #[derive(Default)]
 pub(crate) struct PeerCounts(HashMap<Incarnation, PeerCount>);
 
 impl PeerCounts {
-    /// Takes in what an entry says in its datagram with number `heartbeat`. Returns whether any
-    /// target's speed was news.
+    /// Records the updates of a peer from its datagram with number `heartbeat`. Returns whether the speed of any target
+    /// is new.
     pub(crate) fn record_update(
         &mut self,
         peer: Incarnation,
         heartbeat: u64,
-        news: &[TargetNews],
-        is_whole: bool,
+        updates: &[TargetNews],
+        is_full: bool,
         snapshot: &Snapshot,
         now: Microseconds,
     ) -> bool {
         let count = self.0.entry(peer).or_insert_with(|| PeerCount {
             heartbeat: 0,
-            heard_at: now,
+            received_at: now,
             counts: HashMap::new(),
         });
-        count.heard_at = now;
+        count.received_at = now;
         let is_late = heartbeat < count.heartbeat;
         count.heartbeat = count.heartbeat.max(heartbeat);
-        if is_whole && !is_late {
-            count.clear_all_but(news);
+        if is_full && !is_late {
+            count.clear_except(updates);
         }
-        let mut is_speed_news = false;
-        for said in news {
-            let Some(KeyedTarget { service, target }) = snapshot.keyed_targets().get(&said.key)
+        let mut has_new_speed = false;
+        for update in updates {
+            let Some(KeyedTarget { service, target }) = snapshot.keyed_targets().get(&update.key)
             else {
                 continue;
             };
             if !is_late {
-                count.set(said.key, target, said.in_flight);
+                count.set(update.key, target, update.in_flight);
             }
-            if said.slowdown_tenths > 0 {
-                let at = now.saturating_sub(Microseconds::from_ms(u64::from(said.age_ms)));
-                let slowdown = said.slowdown_tenths as f32 / 10.0;
-                is_speed_news |= service.state.record_speed(target, at, slowdown);
+            if update.slowdown_tenths > 0 {
+                let at = now.saturating_sub(Microseconds::from_ms(u64::from(update.age_ms)));
+                let slowdown = update.slowdown_tenths as f32 / 10.0;
+                has_new_speed |= service.state.record_speed(target, at, slowdown);
             }
         }
-        is_speed_news
+        has_new_speed
     }
 
-    /// Forgets the counts of entries that have been silent for long.
+    /// Removes the counts of peers that have been silent for [`COUNTS_EXPIRE_AFTER`].
     pub(crate) fn remove_silent(&mut self, now: Microseconds) {
         self.0.retain(|_, count| {
-            let is_heard = now.saturating_sub(count.heard_at) < COUNTS_HOLD_FOR;
-            if !is_heard {
-                count.clear_all_but(&[]);
+            let is_recent = now.saturating_sub(count.received_at) < COUNTS_EXPIRE_AFTER;
+            if !is_recent {
+                count.clear_except(&[]);
             }
-            is_heard
+            is_recent
         });
     }
 
-    /// Entries that have requests at targets.
+    /// Peers that have requests in flight at targets.
     pub(crate) fn active_peers(&self) -> impl Iterator<Item = Incarnation> {
         let is_active = |(_, count): &(&Incarnation, &PeerCount)| !count.counts.is_empty();
         self.0.iter().filter(is_active).map(|(peer, _)| *peer)
--- a/crates/pinhaven-entry/src/peers/peer_rows.rs
+++ b/crates/pinhaven-entry/src/peers/peer_rows.rs
@@ -1,6 +1,6 @@
-//! The rows by which entries that know nobody find the others.
+//! Rows in the store by which entries that know no peers find others.
 //!
-//! Few entries keep one: those that speak with the store for all.
+//! Only few entries write a row: the store delegates, which use the store on behalf of all entries.
 
 use crate::entry::Entry;
 use crate::versions::discovered::DELEGATE_LOOK_MS;
@@ -12,41 +12,42 @@
 use pinhaven_runtime::sleep_ms;
 use std::sync::Arc;
 
-/// When an entry writes its row, if others shall find it there, and how much later it reads theirs, in
-/// milliseconds. All start at about the same time, so an earlier look would find few.
-const FIRST_ROW_MS: u64 = 1_000;
-const FIRST_MEMBER_LOOK_MS: u64 = 500;
-/// Time between later looks of an entry that hears no peer, in milliseconds.
-const MEMBER_LOOK_AGAIN_MS: u64 = 3_000;
-/// Looks of that kind between two looks of an entry that does hear some, and whose row is where others
-/// look. Two groups of entries that know nothing of each other meet that way.
-const LOOKS_PER_MEETING: u32 = 4;
+/// Delay from the start until a store delegate writes its row, in milliseconds.
+const FIRST_WRITE_DELAY_MS: u64 = 1_000;
+/// Delay from writing the row until the first read of the rows of others, in milliseconds. All entries start at about
+/// the same time, so an earlier read would find few rows.
+const FIRST_READ_DELAY_MS: u64 = 500;
+/// Interval between later reads of an entry without live peers, in milliseconds.
+const READ_INTERVAL_MS: u64 = 3_000;
+/// Number of read intervals between two reads of a store delegate with live peers. Such a read joins two groups of
+/// entries that do not know each other.
+const INTERVALS_PER_DELEGATE_READ: u32 = 4;
 
 impl Entry {
-    /// Writes the own row and finds the others', for ever.
+    /// Writes the row of this entry and reads the rows of others. With a store, runs until the process exits.
     pub(crate) async fn maintain_membership(self: Arc<Self>) {
         let Some(store) = self.store() else {
             return;
         };
-        sleep_ms(FIRST_ROW_MS).await;
+        sleep_ms(FIRST_WRITE_DELAY_MS).await;
         while !self.speaks_with_store(true) {
             sleep_ms(DELEGATE_LOOK_MS).await;
         }
-        let mut pause = RetryPause::default();
+        let mut backoff = RetryPause::default();
         while let Err(error) = self.announce(&store).await {
-            log::warn!(target: "members", "The own row is not written: {error}.");
-            pause_before_retry(&mut pause, FIRST_RANK).await;
+            log::warn!(target: "members", "Writing the own row failed: {error}.");
+            pause_before_retry(&mut backoff, FIRST_RANK).await;
         }
-        sleep_ms(FIRST_MEMBER_LOOK_MS).await;
-        let mut looks: u32 = 0;
+        sleep_ms(FIRST_READ_DELAY_MS).await;
+        let mut intervals: u32 = 0;
         loop {
-            let is_meeting = looks.is_multiple_of(LOOKS_PER_MEETING);
+            let is_delegate_read_due = intervals.is_multiple_of(INTERVALS_PER_DELEGATE_READ);
             let is_alone = self.members.lock().live_peers(self.now()).is_empty();
-            if is_alone || (is_meeting && self.speaks_with_store(true)) {
+            if is_alone || (is_delegate_read_due && self.speaks_with_store(true)) {
                 self.read_members(&store).await;
             }
-            looks += 1;
-            sleep_ms(MEMBER_LOOK_AGAIN_MS).await;
+            intervals += 1;
+            sleep_ms(READ_INTERVAL_MS).await;
         }
     }
 
@@ -66,7 +67,7 @@
                     members.hear_of(row, now);
                 }
             }
-            Err(error) => log::warn!(target: "members", "Peers can't be looked up: {error}."),
+            Err(error) => log::warn!(target: "members", "Reading peer rows failed: {error}."),
         }
     }
 }
--- a/crates/pinhaven-entry/src/peers/recipients.rs
+++ b/crates/pinhaven-entry/src/peers/recipients.rs
@@ -1,8 +1,8 @@
-//! Whom an entry tells its news.
+//! Selects the recipients of an entry's datagrams.
 //!
-//! The entries that serve hear every round of each other. All others only hear now and then that one
-//! lives, and of lists and versions, mostly from those of their own failure domain: what crosses domains
-//! costs, and with many entries it would be most of all that they say.
+//! Entries that serve callers send each other every round. All other entries receive only an occasional heartbeat with
+//! the target list and bundle version of the sender, mostly from entries of their own failure domain: traffic between
+//! failure domains is expensive, and with many entries it would be the larger part of the traffic between entries.
 
 use crate::entry::Entry;
 use pinhaven_agree::MemberRow;
@@ -13,40 +13,40 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Entries of a failure domain that tell all that serve that they live. They are the first to serve
-/// when others are lost; of the rest only the domain itself needs to know at once.
+/// Number of candidates per failure domain, which send heartbeats to all serving entries. Candidates are the first to
+/// serve when serving entries fail; about the rest, only entries of their own failure domain need to know at once.
 const CANDIDATES_PER_DOMAIN: usize = 8;
-/// Entries beside those that serve that a candidate tells that it lives, in case all that serve are
-/// lost at once.
-const OTHERS_TOLD: usize = 3;
-/// The same for an entry that is no candidate.
-const OTHERS_TOLD_LEAST: usize = 1;
+/// Number of standby entries to which a candidate sends heartbeats, in case all serving entries fail at once. A serving
+/// entry sends to as many standby entries of other failure domains.
+const STANDBY_RECIPIENTS: usize = 3;
+/// Number of standby entries to which an entry that is no candidate sends heartbeats.
+const STANDBY_RECIPIENTS_MIN: usize = 1;
 
-/// What an entry has to say, which decides who must hear it.
+/// Content of an update, which determines the recipients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum UpdateScope {
-    /// That it lives, and what it has under way.
+    /// The heartbeat and the requests in flight of this entry.
     Heartbeat,
-    /// What the store said to this entry itself, or that it stops: nobody else would tell.
+    /// State that this entry read from the store itself, or that this entry stops: no other entry would send it.
     Direct,
 }
 
-/// Whom an entry talks to.
+/// Recipients of the datagrams of one round.
 #[derive(Debug, Default)]
 pub(crate) struct Recipients {
-    /// Whether this entry serves or has something under way, so that it tells each round.
+    /// Whether this entry serves or has requests in flight, so that it sends datagrams every round.
     pub(crate) sends_every_round: bool,
-    /// Entries of this failure domain that serve or have requests under way.
+    /// Entries of this failure domain that serve, are store delegates or have requests in flight.
     pub(crate) serving_near: Vec<SocketAddr>,
-    /// The same of the other failure domains.
+    /// Entries of other failure domains that serve, are store delegates or have requests in flight.
     pub(crate) serving_far: Vec<SocketAddr>,
-    /// Others that are told that it lives.
+    /// Other entries that receive heartbeats.
     pub(crate) standby: Vec<SocketAddr>,
 }
 
 impl Entry {
-    /// Whom this entry tells what it has to say.
-    pub(crate) fn recipients(&self, occasion: UpdateScope, now: Microseconds) -> Recipients {
+    /// Selects the recipients of an update of this entry.
+    pub(crate) fn recipients(&self, scope: UpdateScope, now: Microseconds) -> Recipients {
         let active: BTreeSet<Incarnation> = self.peer_counts.lock().active_peers().collect();
         let members = self.members.lock();
         let own = members.own();
@@ -55,50 +55,50 @@
             .into_iter()
             .map(|row| row.incarnation)
             .collect();
-        let sends_often = serving.contains(&own.incarnation) || self.in_flight() > 0;
-        // Before any entry is ready, those that speak with the store are where the others meet.
+        let sends_every_round = serving.contains(&own.incarnation) || self.in_flight() > 0;
+        // Before any entry is ready, entries discover each other through the store delegates.
         let delegates: BTreeSet<Incarnation> = members
             .delegates(now)
             .into_iter()
             .map(|row| row.incarnation)
             .collect();
-        let is_close = |row: &MemberRow| {
+        let receives_rounds = |row: &MemberRow| {
             let peer = &row.incarnation;
             serving.contains(peer) || delegates.contains(peer) || active.contains(peer)
         };
-        let (close, distant): (Vec<&MemberRow>, Vec<&MemberRow>) = members
+        let (serving_rows, standby_rows): (Vec<&MemberRow>, Vec<&MemberRow>) = members
             .peers_to_ask()
             .into_iter()
-            .partition(|row| is_close(row));
+            .partition(|row| receives_rounds(row));
         let is_candidate = members.place_in_domain(now) < CANDIDATES_PER_DOMAIN;
         let is_stopping = own.state >= MemberState::Stopping;
         let domain = &own.failure_domain;
-        let mut recipients = match occasion {
-            UpdateScope::Direct => all(&close, &distant, domain),
-            UpdateScope::Heartbeat if is_stopping => all(&close, &distant, domain),
-            UpdateScope::Heartbeat if sends_often => Recipients {
-                serving_near: near(&close, domain),
-                serving_far: far(&close, domain),
-                standby: near_and_some(&distant, domain, OTHERS_TOLD),
+        let mut recipients = match scope {
+            UpdateScope::Direct => all(&serving_rows, &standby_rows, domain),
+            UpdateScope::Heartbeat if is_stopping => all(&serving_rows, &standby_rows, domain),
+            UpdateScope::Heartbeat if sends_every_round => Recipients {
+                serving_near: near(&serving_rows, domain),
+                serving_far: far(&serving_rows, domain),
+                standby: near_and_sampled_far(&standby_rows, domain, STANDBY_RECIPIENTS),
                 ..Recipients::default()
             },
             UpdateScope::Heartbeat if is_candidate => Recipients {
-                serving_near: near(&close, domain),
-                serving_far: far(&close, domain),
-                standby: some(&distant, OTHERS_TOLD),
+                serving_near: near(&serving_rows, domain),
+                serving_far: far(&serving_rows, domain),
+                standby: sample(&standby_rows, STANDBY_RECIPIENTS),
                 ..Recipients::default()
             },
             UpdateScope::Heartbeat => Recipients {
-                serving_near: near(&close, domain),
-                standby: some(&distant, OTHERS_TOLD_LEAST),
+                serving_near: near(&serving_rows, domain),
+                standby: sample(&standby_rows, STANDBY_RECIPIENTS_MIN),
                 ..Recipients::default()
             },
         };
-        recipients.sends_every_round = sends_often;
+        recipients.sends_every_round = sends_every_round;
         if members.live_peers(now).is_empty() {
             let seeds = self.peer_seeds.load();
-            let others = seeds.iter().filter(|seed| **seed != own.peer_address);
-            recipients.standby.extend(others);
+            let other_seeds = seeds.iter().filter(|seed| **seed != own.peer_address);
+            recipients.standby.extend(other_seeds);
         }
         recipients
     }
@@ -108,11 +108,15 @@
     rows.iter().map(|row| row.peer_address).collect()
 }
 
-fn all(close: &[&MemberRow], distant: &[&MemberRow], domain: &FailureDomain) -> Recipients {
+fn all(
+    serving_rows: &[&MemberRow],
+    standby_rows: &[&MemberRow],
+    domain: &FailureDomain,
+) -> Recipients {
     Recipients {
-        serving_near: near(close, domain),
-        serving_far: far(close, domain),
-        standby: addresses(distant),
+        serving_near: near(serving_rows, domain),
+        serving_far: far(serving_rows, domain),
+        standby: addresses(standby_rows),
         ..Recipients::default()
     }
 }
@@ -131,22 +135,26 @@
         .collect()
 }
 
-/// Some of the rows, drawn by lot.
-fn some(rows: &[&MemberRow], count: usize) -> Vec<SocketAddr> {
+/// Addresses of random rows.
+fn sample(rows: &[&MemberRow], count: usize) -> Vec<SocketAddr> {
     fastrand::choose_multiple(rows.iter(), count)
         .into_iter()
         .map(|row| row.peer_address)
         .collect()
 }
 
-/// Those of a failure domain, and some of the rest.
-fn near_and_some(rows: &[&MemberRow], domain: &FailureDomain, count: usize) -> Vec<SocketAddr> {
+/// Addresses of all rows of a failure domain and of random other rows.
+fn near_and_sampled_far(
+    rows: &[&MemberRow],
+    domain: &FailureDomain,
+    count: usize,
+) -> Vec<SocketAddr> {
     let far: Vec<&MemberRow> = rows
         .iter()
         .copied()
         .filter(|row| row.failure_domain != *domain)
         .collect();
-    let mut told = near(rows, domain);
-    told.extend(some(&far, count));
-    told
+    let mut selected = near(rows, domain);
+    selected.extend(sample(&far, count));
+    selected
 }
