--- a/crates/pinhaven-entry/src/peers/datagram_receiver.rs
+++ b/crates/pinhaven-entry/src/peers/datagram_receiver.rs
@@ -1,4 +1,4 @@
-//! Taking in what other entries say in their datagrams, and answering who asks about entries.
+//! Receives the datagrams of other entries, applies their updates and describes entries on request.
 
 use crate::entry::Entry;
 use crate::peers::datagram_sender::DatagramSocket;
@@ -19,39 +19,39 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The largest datagram that is taken, in bytes.
+/// Maximum size of an accepted datagram, in bytes.
 const DATAGRAM_BYTES_MAX: usize = 8 * 1024;
-/// Pause after a failed receive, in milliseconds.
+/// Delay after a failed receive, in milliseconds.
 const RECEIVE_RETRY_MS: u64 = 20;
 
 impl Entry {
-    /// Takes news in, for ever.
+    /// Receives and applies datagrams. Runs until the process exits.
     pub(crate) async fn receive_datagrams(self: Arc<Self>, socket: Arc<DatagramSocket>) {
         let mut buffer = vec![0; DATAGRAM_BYTES_MAX];
         loop {
             let (length, peer) = match socket.recv_from(&mut buffer).await {
                 Ok(received) => received,
                 Err(error) => {
-                    log::debug!(target: "news", "Receiving failed: {error}.");
+                    log::debug!(target: "news", "Receiving a datagram failed: {error}.");
                     sleep_ms(RECEIVE_RETRY_MS).await;
                     continue;
                 }
             };
             self.counters.add_many(Count::PeerBytes, length as u64);
             match News::decode(&buffer[..length]) {
-                Ok(news) => self.apply_datagram(news, peer, &socket).await,
-                Err(error) => log::warn!(target: "news", "A datagram of {peer} is none: {error}."),
+                Ok(datagram) => self.apply_datagram(datagram, peer, &socket).await,
+                Err(error) => log::warn!(target: "news", "Datagram of {peer} is invalid: {error}."),
             }
         }
     }
 
     async fn apply_datagram(
         self: &Arc<Self>,
-        news: News,
+        datagram: News,
         peer: SocketAddr,
         socket: &DatagramSocket,
     ) {
-        let Some(beat) = news.beats.first().cloned() else {
+        let Some(beat) = datagram.beats.first().cloned() else {
             return;
         };
         let Some(incarnation) = to_incarnation(&beat.incarnation) else {
@@ -61,22 +61,22 @@
             return;
         }
         let is_new = self.members.lock().member(incarnation).is_none();
-        self.record_sender(news.sender, &news.beats);
-        for identity in news.identities {
-            self.record_identity(identity, &news.beats);
+        self.record_sender(datagram.sender, &datagram.beats);
+        for identity in datagram.identities {
+            self.record_identity(identity, &datagram.beats);
         }
-        self.record_heartbeats(&news.beats);
-        self.merge_suspects(&news.suspects);
-        self.hear_leaves(&news.leaving);
-        let targets = news.targets.unwrap_or_default().rows();
-        self.apply_target_updates(incarnation, &beat, &targets, news.is_whole);
-        let calls_at = self.rpc_address(incarnation).unwrap_or(peer);
-        self.hear_version(calls_at, BundleVersion::new(beat.version));
-        if let Some(list) = news.list {
+        self.record_heartbeats(&datagram.beats);
+        self.merge_suspects(&datagram.suspects);
+        self.hear_leaves(&datagram.leaving);
+        let targets = datagram.targets.unwrap_or_default().rows();
+        self.apply_target_updates(incarnation, &beat, &targets, datagram.is_whole);
+        let rpc_address = self.rpc_address(incarnation).unwrap_or(peer);
+        self.hear_version(rpc_address, BundleVersion::new(beat.version));
+        if let Some(list) = datagram.list {
             let age = list
                 .age_ms
                 .map(|age_ms| Microseconds::from_ms(u64::from(age_ms)));
-            self.hear_list(calls_at, list.revision, list.digest, age);
+            self.hear_list(rpc_address, list.revision, list.digest, age);
             if let Some(steady_ms) = list.steady_ms {
                 let steady = Microseconds::from_ms(u64::from(steady_ms));
                 let since = self.now().saturating_sub(steady);
@@ -84,13 +84,13 @@
                 self.expire_targets();
             }
         }
-        if is_new || !news.wanted.is_empty() {
-            let answer = self.introduction(&news.wanted);
+        if is_new || !datagram.wanted.is_empty() {
+            let answer = self.describe_members(&datagram.wanted);
             send_all(self, socket, &[peer], &answer).await;
         }
     }
 
-    /// Where a peer takes calls, as it says itself.
+    /// Address at which a peer accepts RPCs, as advertised by the peer.
     fn rpc_address(&self, incarnation: Incarnation) -> Option<SocketAddr> {
         let members = self.members.lock();
         let member = members.member(incarnation)?;
@@ -101,20 +101,26 @@
         &self,
         peer: Incarnation,
         beat: &Beat,
-        news: &[TargetNews],
-        is_whole: bool,
+        updates: &[TargetNews],
+        is_full: bool,
     ) {
         let snapshot = self.snapshot.load();
         let mut counts = self.peer_counts.lock();
-        let is_speed_news =
-            counts.record_update(peer, beat.heartbeat, news, is_whole, &snapshot, self.now());
+        let has_new_speed = counts.record_update(
+            peer,
+            beat.heartbeat,
+            updates,
+            is_full,
+            &snapshot,
+            self.now(),
+        );
         drop(counts);
-        if is_speed_news {
+        if has_new_speed {
             self.wake_waiting();
         }
     }
 
-    /// Lets one request of each service that has some waiting look again.
+    /// Wakes one waiting request of each service, so that the request retries admission.
     fn wake_waiting(&self) {
         for service in self.snapshot.load().services.values() {
             if service.state.waiting() > 0 {
@@ -123,8 +129,8 @@
         }
     }
 
-    /// Describes this entry, those that were asked about, and some more.
-    fn introduction(&self, wanted: &[Vec<u8>]) -> News {
+    /// Describes this entry, the wanted members and random other live members.
+    fn describe_members(&self, wanted: &[Vec<u8>]) -> News {
         let wanted: Vec<Incarnation> = wanted
             .iter()
             .take(IDENTITIES_MAX)
--- a/crates/pinhaven-entry/src/peers/datagram_sender.rs
+++ b/crates/pinhaven-entry/src/peers/datagram_sender.rs
@@ -1,9 +1,9 @@
-//! Telling other entries the news, as datagrams.
+//! Sends datagrams to other entries.
 //!
-//! The entries that serve tell each other every few milliseconds what they have under way and how
-//! fast the targets say they are; those of other failure domains less often while targets have room. To
-//! the others they only tell now and then that they live. An entry that does not serve tells one that does,
-//! which passes it on.
+//! Entries that serve callers send each other, every few milliseconds, their requests in flight and the speeds that
+//! targets report. Entries of other failure domains receive these updates less often while targets have capacity. All
+//! other entries receive only an occasional heartbeat. An entry that does not serve sends its heartbeat to serving
+//! entries, which relay it.
 
 use crate::crashes::advertise::SUSPECTS_PER_DATAGRAM;
 use crate::entry::Entry;
@@ -34,53 +34,56 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two rounds while targets have room, in milliseconds. A target's speed lasts some
-/// hundred milliseconds, and a slot that is taken meanwhile is not the last one.
-const ROUND_MOST_MS: f32 = 50.0;
-/// Time between two rounds when targets are full, in milliseconds. Who has the last free slot changes
-/// with each request then.
-const ROUND_LEAST_MS: f32 = 8.0;
-/// How many times longer that is for receivers in other failure domains while targets have room: each target
-/// has an owner in its own domain, and others send there only when theirs are full. With what is left out of
-/// datagrams this halves the traffic between domains of a calm day (0.008 to 0.004 GB, 17 entries, three runs without processor time).
+/// Interval between rounds while targets have capacity, in milliseconds. The speed of a target stays valid for some
+/// hundred milliseconds, and a slot that is taken between rounds is not the last free slot.
+const ROUND_MAX_MS: f32 = 50.0;
+/// Interval between rounds when targets are full, in milliseconds. The target with the last free slot then changes with
+/// each request.
+const ROUND_MIN_MS: f32 = 8.0;
+/// Factor by which the interval is longer for recipients in other failure domains while targets have capacity. Each
+/// target has an owner in its own failure domain, and entries of other domains send requests there only when the
+/// targets of their own domain are full. Together with the data omitted from datagrams, the factor halves the traffic
+/// between failure domains at low load.
 const FAR_ROUND_FACTOR: f32 = 2.5;
-/// Time between two rounds of an entry that has nothing to tell but that it lives.
-const ROUND_OF_IDLE: Duration = Duration::from_millis(250);
-/// Use of a service's slots from which rounds get shorter, and at which they are shortest.
-const BUSY_USE: (f32, f32) = (0.15, 0.45);
-/// Time between two whole datagrams, which make good for lost ones.
-const WHOLE_EVERY: Microseconds = Microseconds::from_ms(500);
-/// Share of the link that news may take; rounds get longer when it would be more.
-const NEWS_LINK_SHARE: f64 = 0.06;
-/// Bytes a second in a megabit a second.
+/// Interval between rounds of an entry that has nothing to advertise but its heartbeat.
+const IDLE_ROUND: Duration = Duration::from_millis(250);
+/// Utilization of a service's slots above which intervals get shorter, and at which they are shortest.
+const BUSY_UTILIZATION: (f32, f32) = (0.15, 0.45);
+/// Interval between full datagrams, which compensate for lost datagrams.
+const FULL_INTERVAL: Microseconds = Microseconds::from_ms(500);
+/// Maximum share of the link that datagrams may use. Intervals get longer where the share would be exceeded.
+const DATAGRAM_LINK_SHARE: f64 = 0.06;
+/// Bytes per second in one megabit per second.
 const BYTES_PER_MEGABIT: f64 = 125_000.0;
-/// Age of an entry until which it meets the others.
-const MEETING_TIME: Microseconds = Microseconds::from_ms(600);
-/// Time between two whole datagrams of an entry of that age. It learns of others with each.
-const WHOLE_EVERY_WHILE_MEETING: Microseconds = Microseconds::from_ms(60);
-/// An entry whose last read of the list is older than this does not read at present.
-const READS_WITHIN: Microseconds = Microseconds::from_ms(2_000);
-/// Beats of other entries in a whole datagram to this failure domain, and to others, whose entries hear most
-/// beats at first hand.
-const BEATS_PASSED_ON: usize = 6;
-const BEATS_PASSED_ON_FAR: usize = 2;
-/// Time between two descriptions of this entry in its datagrams. Who knows only its beat asks for one.
-const IDENTITY_EVERY: Microseconds = Microseconds::from_ms(2_000);
-/// Entries described or asked about in one datagram, so that it fits into one packet.
+/// Age of an entry until which the entry discovers its peers.
+const DISCOVERY_PERIOD: Microseconds = Microseconds::from_ms(600);
+/// Interval between full datagrams of an entry that discovers its peers. The entry learns of
+/// further peers with each full datagram.
+const DISCOVERY_INTERVAL: Microseconds = Microseconds::from_ms(60);
+/// Maximum age of the last read of the target list of an entry that still counts as reading the list.
+const READ_AGE_MAX: Microseconds = Microseconds::from_ms(2_000);
+/// Number of heartbeats of other entries in a full datagram to the own failure domain.
+const RELAYED_HEARTBEATS: usize = 6;
+/// Number of heartbeats of other entries in a full datagram to other failure domains, whose entries receive most
+/// heartbeats directly.
+const RELAYED_HEARTBEATS_FAR: usize = 2;
+/// Interval between descriptions of this entry in its datagrams. A peer that knows only the heartbeat requests one.
+const IDENTITY_INTERVAL: Microseconds = Microseconds::from_ms(2_000);
+/// Maximum number of entries described or requested in one datagram, so that the datagram fits into one packet.
 pub(crate) const IDENTITIES_MAX: usize = 6;
-/// Crashes at which a request was there before entries that stand by are told of it.
-const REPEATED_CRASHES: usize = 2;
-/// Targets in one datagram, so that it fits into one packet.
+/// Number of crashes with a request in flight from which standby entries receive evidence on the request.
+const REPEATED_CRASHES_MIN: usize = 2;
+/// Maximum number of targets in one datagram, so that the datagram fits into one packet.
 const TARGETS_MAX: usize = 160;
 
-/// The socket for news.
+/// Socket for datagrams between entries.
 pub(crate) type DatagramSocket = Async<UdpSocket>;
 
-/// Opens the socket for news, at the address for peers.
+/// Opens the datagram socket at the address for peers.
 ///
 /// # Errors
 ///
-/// [`EntryError`] when the address can't be had.
+/// [`EntryError`] if the address can't be bound.
 pub(crate) fn listen(address: SocketAddr) -> Result<Arc<DatagramSocket>, EntryError> {
     let socket = Async::<UdpSocket>::bind(address);
     socket.map(Arc::new).map_err(|error| EntryError::System {
@@ -90,49 +93,51 @@
     })
 }
 
-/// The entries of one failure domain or of all others, and what they have been told so far.
+/// State that was sent to the entries of the own failure domain, or to the entries of all other failure domains.
 #[derive(Default)]
-struct Audience {
-    told: AdvertisedTargets,
-    told_at: Microseconds,
+struct RecipientGroup {
+    advertised: AdvertisedTargets,
+    sent_at: Microseconds,
 }
 
-/// What a datagram says beside targets.
+/// Content of a datagram besides targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Extent {
-    /// Only that this entry lives.
-    Round,
-    /// Who lives, too, and which list of targets this entry has.
-    Whole {
-        beats_passed_on: usize,
+enum UpdateKind {
+    /// Only the heartbeat of this entry.
+    Incremental,
+    /// Also the live members and the revision of the target list of this entry.
+    Full {
+        relayed_heartbeats: usize,
         has_identity: bool,
     },
 }
 
-/// What has been told so far.
+/// State of the datagram sender.
 #[derive(Default)]
 struct Sender {
-    whole_at: Microseconds,
-    identity_at: Microseconds,
-    near: Audience,
-    far: Audience,
+    full_sent_at: Microseconds,
+    identity_sent_at: Microseconds,
+    near: RecipientGroup,
+    far: RecipientGroup,
     live_peers: LivePeers,
-    sends_often: bool,
-    list_told_at: Option<Microseconds>,
+    sends_every_round: bool,
+    list_advertised_at: Option<Microseconds>,
     demand: DemandMeter,
-    /// The least time until the next round, so that news stay within their rate.
-    pause_least: Duration,
+    /// Minimum delay until the next round, so that datagrams stay within their share of the link.
+    delay_min: Duration,
 }
 
 impl Entry {
-    /// Tells news, for ever.
+    /// Sends datagrams in rounds. Runs until the process exits.
     pub(crate) async fn send_datagrams(self: Arc<Self>, socket: Arc<DatagramSocket>) {
         let mut sender = Sender::default();
-        // Others should hear of this entry at once.
+        // Peers should learn of this entry at once.
         self.send_round(&mut sender, &socket, true).await;
         loop {
-            let news = self.news.listen();
-            let is_urgent = within(self.next_round_delay(&sender), news).await.is_some();
+            let urgent_update = self.news.listen();
+            let is_urgent = within(self.next_round_delay(&sender), urgent_update)
+                .await
+                .is_some();
             self.send_round(&mut sender, &socket, is_urgent).await;
         }
     }
@@ -140,71 +145,72 @@
     async fn send_round(&self, sender: &mut Sender, socket: &DatagramSocket, is_urgent: bool) {
         let now = self.now();
         let list_read_at = self.list_read_at(now);
-        let has_read_list = list_read_at > sender.list_told_at;
-        let may_be_first = self.is_discovering() || self.is_delegate(now);
-        let is_first_hand = has_read_list || (is_urgent && may_be_first);
-        let is_due = now.saturating_sub(sender.whole_at) >= self.whole_every();
-        let is_whole = is_urgent || has_read_list || is_due;
-        if is_whole {
-            sender.whole_at = now;
+        let has_read_list = list_read_at > sender.list_advertised_at;
+        let may_be_first_to_know = self.is_discovering() || self.is_delegate(now);
+        let is_direct = has_read_list || (is_urgent && may_be_first_to_know);
+        let is_due = now.saturating_sub(sender.full_sent_at) >= self.full_interval();
+        let is_full = is_urgent || has_read_list || is_due;
+        if is_full {
+            sender.full_sent_at = now;
             self.refresh_peers(sender, now);
         }
-        let occasion = match is_first_hand {
+        let scope = match is_direct {
             true => UpdateScope::Direct,
             false => UpdateScope::Heartbeat,
         };
-        let recipients = self.recipients(occasion, now);
-        sender.sends_often = recipients.sends_every_round;
-        if !is_whole && !recipients.sends_every_round {
+        let recipients = self.recipients(scope, now);
+        sender.sends_every_round = recipients.sends_every_round;
+        if !is_full && !recipients.sends_every_round {
             return;
         }
         self.advance_heartbeat();
-        sender.list_told_at = list_read_at;
+        sender.list_advertised_at = list_read_at;
         let bytes = self
-            .send_to_recipients(&recipients, sender, is_whole, is_urgent, socket)
+            .send_to_recipients(&recipients, sender, is_full, is_urgent, socket)
             .await;
-        let link = self.settings.resources.link_mbps * BYTES_PER_MEGABIT;
-        sender.pause_least = Duration::from_secs_f64(bytes as f64 / (link * NEWS_LINK_SHARE));
+        let link_bytes_per_s = self.settings.resources.link_mbps * BYTES_PER_MEGABIT;
+        sender.delay_min =
+            Duration::from_secs_f64(bytes as f64 / (link_bytes_per_s * DATAGRAM_LINK_SHARE));
     }
 
-    /// Tells all who are to hear this round. Returns the bytes that were sent.
+    /// Sends the datagrams of one round to all recipients. Returns the number of bytes sent.
     async fn send_to_recipients(
         &self,
         recipients: &Recipients,
         sender: &mut Sender,
-        is_whole: bool,
+        is_full: bool,
         is_urgent: bool,
         socket: &DatagramSocket,
     ) -> usize {
         let now = self.now();
-        if !is_whole {
-            let round = Extent::Round;
+        if !is_full {
+            let incremental = UpdateKind::Incremental;
             let near = &recipients.serving_near;
             let mut bytes = self
-                .send_to_group(near, &mut sender.near, round, socket)
+                .send_to_group(near, &mut sender.near, incremental, socket)
                 .await;
-            if now.saturating_sub(sender.far.told_at) >= self.far_round() {
+            if now.saturating_sub(sender.far.sent_at) >= self.far_interval() {
                 let far = &recipients.serving_far;
                 bytes += self
-                    .send_to_group(far, &mut sender.far, round, socket)
+                    .send_to_group(far, &mut sender.far, incremental, socket)
                     .await;
             }
             return bytes;
         }
-        let is_meeting = self.is_discovering();
-        let is_due = now.saturating_sub(sender.identity_at) >= IDENTITY_EVERY;
-        let has_identity = is_urgent || is_meeting || is_due;
+        let is_discovering = self.is_discovering();
+        let is_due = now.saturating_sub(sender.identity_sent_at) >= IDENTITY_INTERVAL;
+        let has_identity = is_urgent || is_discovering || is_due;
         if has_identity {
-            sender.identity_at = now;
+            sender.identity_sent_at = now;
         }
-        let whole = |beats_passed_on| Extent::Whole {
-            beats_passed_on,
+        let full = |relayed_heartbeats| UpdateKind::Full {
+            relayed_heartbeats,
             has_identity,
         };
-        let near = whole(BEATS_PASSED_ON);
-        let far = match is_meeting {
+        let near = full(RELAYED_HEARTBEATS);
+        let far = match is_discovering {
             true => near,
-            false => whole(BEATS_PASSED_ON_FAR),
+            false => full(RELAYED_HEARTBEATS_FAR),
         };
         let mut bytes = self
             .send_to_group(&recipients.serving_near, &mut sender.near, near, socket)
@@ -212,25 +218,26 @@
         bytes += self
             .send_to_group(&recipients.serving_far, &mut sender.far, far, socket)
             .await;
-        let mut beat = self.message(&[], far);
-        // Entries that stand by get no part of what may be innocent: it would go to all of them.
-        beat.suspects = self.suspects_to_advertise(SUSPECTS_PER_DATAGRAM, REPEATED_CRASHES);
-        bytes + send_all(self, socket, &recipients.standby, &beat).await
+        let mut heartbeat = self.message(&[], far);
+        // Standby entries receive no evidence on requests that may be innocent: it would be sent to all of them.
+        heartbeat.suspects =
+            self.suspects_to_advertise(SUSPECTS_PER_DATAGRAM, REPEATED_CRASHES_MIN);
+        bytes + send_all(self, socket, &recipients.standby, &heartbeat).await
     }
 
-    fn whole_every(&self) -> Microseconds {
+    fn full_interval(&self) -> Microseconds {
         match self.is_discovering() {
-            true => WHOLE_EVERY_WHILE_MEETING,
-            false => WHOLE_EVERY,
+            true => DISCOVERY_INTERVAL,
+            false => FULL_INTERVAL,
         }
     }
 
-    /// Whether this entry has just started and may not know all others yet.
+    /// Whether this entry started recently and may not know all peers yet.
     fn is_discovering(&self) -> bool {
-        self.clock.age() < MEETING_TIME
+        self.clock.age() < DISCOVERY_PERIOD
     }
 
-    /// Brings up to date what depends on which peers live.
+    /// Updates the state that depends on which peers are live.
     fn refresh_peers(&self, sender: &mut Sender, now: Microseconds) {
         self.members.lock().forget_silent(now);
         self.peer_counts.lock().remove_silent(now);
@@ -247,70 +254,70 @@
         members.is_delegate(now)
     }
 
-    /// Tells the entries of one audience of targets, and that this one lives. Returns the bytes sent.
+    /// Sends target updates and the heartbeat to one recipient group. Returns the number of bytes sent.
     async fn send_to_group(
         &self,
         peers: &[SocketAddr],
-        audience: &mut Audience,
-        extent: Extent,
+        group: &mut RecipientGroup,
+        kind: UpdateKind,
         socket: &DatagramSocket,
     ) -> usize {
         let now = self.now();
-        audience.told_at = now;
-        let is_whole = extent != Extent::Round;
+        group.sent_at = now;
+        let is_full = kind != UpdateKind::Incremental;
         let snapshot = self.snapshot.load();
-        let targets = collect_updates(&mut audience.told, &snapshot, now, is_whole);
+        let targets = collect_updates(&mut group.advertised, &snapshot, now, is_full);
         if targets.is_empty() {
-            if !is_whole {
+            if !is_full {
                 return 0;
             }
-            let message = self.message(&targets, extent);
+            let message = self.message(&targets, kind);
             return send_all(self, socket, peers, &message).await;
         }
-        let fits = targets.len() <= TARGETS_MAX;
+        let fits_in_one = targets.len() <= TARGETS_MAX;
         let mut bytes = 0;
         for part in targets.chunks(TARGETS_MAX) {
-            let mut message = self.message(part, extent);
-            message.is_whole &= fits;
+            let mut message = self.message(part, kind);
+            message.is_whole &= fits_in_one;
             bytes += send_all(self, socket, peers, &message).await;
         }
         bytes
     }
 
-    /// Time until the next round: the shorter the fuller the targets of any service are, and long for
-    /// an entry that has nothing under way and does not serve.
+    /// Delay until the next round. The delay is shorter the fuller the targets of any service are, and long for an
+    /// entry that does not serve and has no requests in flight.
     fn next_round_delay(&self, sender: &Sender) -> Duration {
         if self.is_discovering() {
-            return Duration::from_micros(WHOLE_EVERY_WHILE_MEETING.count());
+            return Duration::from_micros(DISCOVERY_INTERVAL.count());
         }
-        if !sender.sends_often && self.in_flight() == 0 {
-            return ROUND_OF_IDLE;
+        if !sender.sends_every_round && self.in_flight() == 0 {
+            return IDLE_ROUND;
         }
-        let round_ms = round_ms(self.busy());
-        Duration::from_micros((round_ms * 1_000.0) as u64).max(sender.pause_least)
+        let round_ms = round_ms(self.fill_level());
+        Duration::from_micros((round_ms * 1_000.0) as u64).max(sender.delay_min)
     }
 
-    /// Time between two rounds for the other failure domains.
-    fn far_round(&self) -> Microseconds {
-        let busy = self.busy();
-        let factor = 1.0 + (FAR_ROUND_FACTOR - 1.0) * (1.0 - busy);
-        // A round that comes up to half a round early is not left out for that.
-        Microseconds::new((round_ms(busy) * (factor - 0.5) * 1_000.0) as u64)
+    /// Interval between rounds for recipients in other failure domains.
+    fn far_interval(&self) -> Microseconds {
+        let fill_level = self.fill_level();
+        let factor = 1.0 + (FAR_ROUND_FACTOR - 1.0) * (1.0 - fill_level);
+        // Half a round is subtracted, so that a round that is up to half a round early is not skipped.
+        Microseconds::new((round_ms(fill_level) * (factor - 0.5) * 1_000.0) as u64)
     }
 
-    /// How near the fullest service's targets are to being full, from 0 to 1, as far as rounds go by it.
-    fn busy(&self) -> f32 {
+    /// Position of the utilization of the fullest service within [`BUSY_UTILIZATION`], from 0 to 1.
+    fn fill_level(&self) -> f32 {
         let (snapshot, now) = (self.snapshot.load(), self.now());
-        let uses = snapshot
+        let utilizations = snapshot
             .services
             .values()
             .map(|service| service.state.utilization(now));
-        let most_used = uses.fold(0.0, f32::max);
-        let (from, to) = BUSY_USE;
-        ((most_used - from) / (to - from)).clamp(0.0, 1.0)
+        let highest = utilizations.fold(0.0, f32::max);
+        let (from, to) = BUSY_UTILIZATION;
+        ((highest - from) / (to - from)).clamp(0.0, 1.0)
     }
 
-    /// When this entry last read the list of targets.
+    /// When this entry itself last read the target list.
     fn list_read_at(&self, now: Microseconds) -> Option<Microseconds> {
         let own_age = self.targets.lock().own_age(now);
         own_age.map(|age| now.saturating_sub(age))
@@ -321,13 +328,13 @@
         self.members.lock().beat(version, 0);
     }
 
-    fn list_news(&self, now: Microseconds) -> Option<ListNews> {
+    fn list_update(&self, now: Microseconds) -> Option<ListNews> {
         let known = self.targets.lock();
         if !known.is_known() {
             return None;
         }
         let own_age = known.own_age(now);
-        let reads_now = own_age.is_some_and(|age| age < READS_WITHIN);
+        let reads_now = own_age.is_some_and(|age| age < READ_AGE_MAX);
         let steady = known.steady_for(now).filter(|_| reads_now);
         Some(ListNews {
             revision: known.list().revision,
@@ -337,19 +344,19 @@
         })
     }
 
-    fn message(&self, targets: &[TargetNews], extent: Extent) -> News {
-        let list = (extent != Extent::Round).then(|| self.list_news(self.now()));
-        let suspects = match extent {
-            Extent::Round => Vec::new(),
-            Extent::Whole { .. } => self.suspects_to_advertise(SUSPECTS_PER_DATAGRAM, 1),
+    fn message(&self, targets: &[TargetNews], kind: UpdateKind) -> News {
+        let list = (kind != UpdateKind::Incremental).then(|| self.list_update(self.now()));
+        let suspects = match kind {
+            UpdateKind::Incremental => Vec::new(),
+            UpdateKind::Full { .. } => self.suspects_to_advertise(SUSPECTS_PER_DATAGRAM, 1),
         };
-        let leaving = match extent {
-            Extent::Round => Vec::new(),
-            Extent::Whole { .. } => self.leaves_to_tell(),
+        let leaving = match kind {
+            UpdateKind::Incremental => Vec::new(),
+            UpdateKind::Full { .. } => self.leaves_to_tell(),
         };
         let members = self.members.lock();
         let own = members.own();
-        let mut news = News {
+        let mut message = News {
             leaving,
             beats: vec![heartbeat_of(own)],
             list: list.flatten(),
@@ -357,35 +364,37 @@
             suspects,
             ..News::default()
         };
-        let Extent::Whole {
-            beats_passed_on,
+        let UpdateKind::Full {
+            relayed_heartbeats,
             has_identity,
-        } = extent
+        } = kind
         else {
-            return news;
+            return message;
         };
         let live = members.live_peers(self.now());
-        news.beats.extend(some_live_beats(&live, beats_passed_on));
-        news.sender = has_identity.then(|| identity_of(own));
+        message
+            .beats
+            .extend(sample_live_heartbeats(&live, relayed_heartbeats));
+        message.sender = has_identity.then(|| identity_of(own));
         let unknown = self.unknown_members.lock();
-        news.wanted = unknown.iter().take(IDENTITIES_MAX).map(to_bytes).collect();
-        news.is_whole = true;
-        news
+        message.wanted = unknown.iter().take(IDENTITIES_MAX).map(to_bytes).collect();
+        message.is_whole = true;
+        message
     }
 }
 
-/// Time between two rounds when targets are `busy`, in milliseconds.
-fn round_ms(busy: f32) -> f32 {
-    ROUND_MOST_MS + (ROUND_LEAST_MS - ROUND_MOST_MS) * busy
+/// Interval between rounds at this fill level, in milliseconds.
+fn round_ms(fill_level: f32) -> f32 {
+    ROUND_MAX_MS + (ROUND_MIN_MS - ROUND_MAX_MS) * fill_level
 }
 
-fn some_live_beats(live: &[&MemberRow], count: usize) -> Vec<Beat> {
+fn sample_live_heartbeats(live: &[&MemberRow], count: usize) -> Vec<Beat> {
     let mut live = live.to_vec();
     fastrand::shuffle(&mut live);
     live.into_iter().take(count).map(heartbeat_of).collect()
 }
 
-/// Sends a message to several peers. Returns the bytes that were sent.
+/// Sends a message to several peers. Returns the number of bytes sent.
 pub(crate) async fn send_all(
     entry: &Entry,
     socket: &DatagramSocket,
@@ -398,7 +407,7 @@
             .counters
             .add_many(Count::PeerBytes, bytes.len() as u64);
         if let Err(error) = socket.send_to(&bytes, *peer).await {
-            log::debug!(target: "news", "Telling {peer} failed: {error}.");
+            log::debug!(target: "news", "Sending to {peer} failed: {error}.");
         }
     }
     bytes.len() * peers.len()
