--- a/crates/pinhaven-entry/src/peers/datagram_sender.rs
+++ b/crates/pinhaven-entry/src/peers/datagram_sender.rs
@@ -57,8 +57,8 @@
 const BYTES_PER_MEGABIT: f64 = 125_000.0;
 /// Age of an entry until which the entry discovers its peers.
 const DISCOVERY_PERIOD: Microseconds = Microseconds::from_ms(600);
-/// Interval between full datagrams of an entry that discovers its peers. The entry learns of
-/// further peers with each full datagram.
+/// Interval between full datagrams of an entry that discovers its peers. The entry learns of further peers with each
+/// full datagram.
 const DISCOVERY_INTERVAL: Microseconds = Microseconds::from_ms(60);
 /// Maximum age of the last read of the target list of an entry that still counts as reading the list.
 const READ_AGE_MAX: Microseconds = Microseconds::from_ms(2_000);
@@ -67,11 +67,12 @@
 /// Number of heartbeats of other entries in a full datagram to other failure domains, whose entries receive most
 /// heartbeats directly.
 const RELAYED_HEARTBEATS_FAR: usize = 2;
-/// Interval between descriptions of this entry in its datagrams. A peer that knows only the heartbeat requests one.
+/// Interval between descriptions of this entry in its datagrams. A peer that knows only the heartbeat requests the
+/// description.
 const IDENTITY_INTERVAL: Microseconds = Microseconds::from_ms(2_000);
 /// Maximum number of entries described or requested in one datagram, so that the datagram fits into one packet.
 pub(crate) const IDENTITIES_MAX: usize = 6;
-/// Number of crashes with a request in flight from which standby entries receive evidence on the request.
+/// Minimum number of crashes with a request in flight before standby entries receive evidence on the request.
 const REPEATED_CRASHES_MIN: usize = 2;
 /// Maximum number of targets in one datagram, so that the datagram fits into one packet.
 const TARGETS_MAX: usize = 160;
--- a/crates/pinhaven-entry/src/peers/recipients.rs
+++ b/crates/pinhaven-entry/src/peers/recipients.rs
@@ -17,7 +17,7 @@
 /// serve when serving entries fail; about the rest, only entries of their own failure domain need to know at once.
 const CANDIDATES_PER_DOMAIN: usize = 8;
 /// Number of standby entries to which a candidate sends heartbeats, in case all serving entries fail at once. A serving
-/// entry sends to as many standby entries of other failure domains.
+/// entry sends to all standby entries of its own failure domain and to this number of others.
 const STANDBY_RECIPIENTS: usize = 3;
 /// Number of standby entries to which an entry that is no candidate sends heartbeats.
 const STANDBY_RECIPIENTS_MIN: usize = 1;
@@ -27,7 +27,7 @@
 pub(crate) enum UpdateScope {
     /// The heartbeat and the requests in flight of this entry.
     Heartbeat,
-    /// State that this entry read from the store itself, or that this entry stops: no other entry would send it.
+    /// State that this entry read from the store itself, or the fact that it stops: no other entry would send either.
     Direct,
 }
 
