--- a/crates/pinhaven-entry/src/peers/gossip_message.rs
+++ b/crates/pinhaven-entry/src/peers/gossip_message.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other, as messages and as rows.
+//! Converts between the rows of members and the messages of the protocol between entries.
 
 use pinhaven_agree::MemberRow;
 use pinhaven_agree::MemberState;
@@ -9,18 +9,18 @@
 use pinhaven_types::RequestRate;
 use std::net::SocketAddr;
 
-/// Members named in one message.
-pub(crate) const BEATS_MAX: usize = 20;
+/// Maximum number of members in one message.
+pub(crate) const HEARTBEATS_MAX: usize = 20;
 
-/// Beats of the first row, which is the sender's, and of others drawn by lot.
-pub(crate) fn some_beats(mut rows: Vec<MemberRow>) -> Vec<Beat> {
-    if rows.len() > BEATS_MAX {
+/// Heartbeats of the first row, which is the sender's, and of random other rows.
+pub(crate) fn sample_heartbeats(mut rows: Vec<MemberRow>) -> Vec<Beat> {
+    if rows.len() > HEARTBEATS_MAX {
         fastrand::shuffle(&mut rows[1..]);
     }
-    rows.iter().take(BEATS_MAX).map(beat_of).collect()
+    rows.iter().take(HEARTBEATS_MAX).map(heartbeat_of).collect()
 }
 
-pub(crate) fn beat_of(row: &MemberRow) -> Beat {
+pub(crate) fn heartbeat_of(row: &MemberRow) -> Beat {
     Beat {
         incarnation: to_bytes(&row.incarnation),
         heartbeat: row.heartbeat,
@@ -65,10 +65,10 @@
         version: BundleVersion::NONE,
         epoch: 0,
     };
-    Some(with_beat(row, beat))
+    Some(with_heartbeat(row, beat))
 }
 
-pub(crate) fn with_beat(row: MemberRow, beat: &Beat) -> MemberRow {
+pub(crate) fn with_heartbeat(row: MemberRow, beat: &Beat) -> MemberRow {
     MemberRow {
         state: to_state(beat.state),
         heartbeat: beat.heartbeat,
@@ -79,7 +79,8 @@
     }
 }
 
-/// A state that this version does not know is taken for the last one, so that nobody is sent there.
+/// Converts the number of a state. An unknown number, from another release, counts as [`MemberState::Gone`], so that no
+/// request is sent to that entry.
 pub(crate) fn to_state(number: u32) -> MemberState {
     [
         MemberState::Starting,
