--- a/crates/pinhaven-entry/src/callers/proxy.rs
+++ b/crates/pinhaven-entry/src/callers/proxy.rs
@@ -198,7 +198,7 @@
 
 fn attempts_most(facts: &CallerFacts, route: Option<&PathRoute>) -> Option<u32> {
     let routed = route.map(|route| route.attempts_most);
-    match (facts.attempts_most, routed) {
+    match (facts.attempts_max, routed) {
         (Some(caller), Some(route)) => Some(caller.min(route)),
         (caller, route) => caller.or(route),
     }
--- a/crates/pinhaven-entry/src/crashes/record.rs
+++ b/crates/pinhaven-entry/src/crashes/record.rs
@@ -3,7 +3,7 @@
 use crate::callers::job::Job;
 use crate::crashes::watch::HeldChange;
 use crate::entry::Entry;
-use crate::request::subject::Subject;
+use crate::request::record_context::RecordContext;
 use pinhaven_decide::TargetState;
 use pinhaven_record::Line;
 
@@ -12,7 +12,7 @@
     pub(crate) fn record_crash(&self, job: &Job, target: &TargetState) {
         let prints = job.prints();
         self.watch_crash(prints, target);
-        let Some(subject) = Subject::new(job) else {
+        let Some(subject) = RecordContext::new(job) else {
             return;
         };
         self.record_line(|| {
--- a/crates/pinhaven-entry/src/lib.rs
+++ b/crates/pinhaven-entry/src/lib.rs
@@ -46,6 +46,6 @@
 pub use wire::dialect::OwnDialect;
 pub use wire::dialect::query_value;
 pub use wire::dialect::use_standard_fields;
-pub use wire::rest::HeardOrders;
-pub use wire::rest::HeardRest;
+pub use wire::rest::ReceivedOrders;
+pub use wire::rest::ReceivedRest;
 pub use wire::rest::read_rest;
--- a/crates/pinhaven-entry/src/request/answer_body.rs
+++ b/crates/pinhaven-entry/src/request/answer_body.rs
@@ -6,8 +6,8 @@
 
 use crate::callers::hold::CallerHold;
 use crate::entry::Entry;
-use crate::request::places::Places;
-use crate::request::subject::Subject;
+use crate::request::capacity_waiters::CapacityWaiters;
+use crate::request::record_context::RecordContext;
 use crate::targets::pool::ReturnSender;
 use crate::watch::counters::Count;
 use bytes::Bytes;
@@ -54,7 +54,7 @@
     /// All of it is here; `None` once it has been passed on.
     Whole(Option<Bytes>),
     /// It is passed on as it comes.
-    Coming(Incoming),
+    Streaming(Incoming),
 }
 
 impl ReceivedBody {
@@ -64,7 +64,7 @@
         let declared = body.size_hint().exact();
         let is_small = declared.is_some_and(|bytes| bytes <= HELD_BYTES_MOST);
         if body.is_end_stream() || !is_small {
-            return Some(Self::Coming(body));
+            return Some(Self::Streaming(body));
         }
         let body = body.map_err(Into::into).boxed_unsync();
         let whole = collect_answer(body, HELD_BYTES_MOST as usize).await?;
@@ -83,14 +83,14 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         match &mut *self {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Coming(body) => Pin::new(body).poll_frame(context).map_err(Into::into),
+            Self::Streaming(body) => Pin::new(body).poll_frame(context).map_err(Into::into),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Whole(bytes) => bytes.is_none(),
-            Self::Coming(body) => body.is_end_stream(),
+            Self::Streaming(body) => body.is_end_stream(),
         }
     }
 
@@ -98,7 +98,7 @@
         match self {
             Self::Whole(Some(bytes)) => SizeHint::with_exact(bytes.len() as u64),
             Self::Whole(None) => SizeHint::with_exact(0),
-            Self::Coming(body) => body.size_hint(),
+            Self::Streaming(body) => body.size_hint(),
         }
     }
 }
@@ -111,18 +111,18 @@
 }
 
 /// What is held while an answer's body is passed on.
-pub(crate) struct Held {
+pub(crate) struct AnswerGuard {
     pub(crate) entry: Arc<Entry>,
     pub(crate) attempt: Option<Attempt>,
-    pub(crate) place_freed: Arc<Places>,
+    pub(crate) capacity_freed: Arc<CapacityWaiters>,
     pub(crate) sender: ReturnSender,
     /// What the record says of the request, if there is one.
-    pub(crate) subject: Option<Subject>,
+    pub(crate) subject: Option<RecordContext>,
     /// Kept only to be dropped with the rest.
     pub(crate) _hold: CallerHold,
 }
 
-impl Held {
+impl AnswerGuard {
     /// Comes when the target has started again, if that can be told.
     fn restart(&self) -> Option<Pin<Box<dyn Future<Output = ()> + Send>>> {
         let target = Arc::clone(&self.attempt.as_ref()?.target);
@@ -147,11 +147,11 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for AnswerGuard {
     fn drop(&mut self) {
         // The place is given back before the next request is told of it.
         self.attempt = None;
-        self.place_freed.notify(1);
+        self.capacity_freed.notify(1);
     }
 }
 
@@ -160,17 +160,17 @@
     body: ReceivedBody,
     declared: Option<u64>,
     passed: u64,
-    held: Option<Held>,
+    held: Option<AnswerGuard>,
     /// Comes when the target has started again and will send no more of it.
     restart: Option<Pin<Box<dyn Future<Output = ()> + Send>>>,
 }
 
 impl AnswerBody {
-    pub(crate) fn new(body: ReceivedBody, held: Held) -> Self {
+    pub(crate) fn new(body: ReceivedBody, held: AnswerGuard) -> Self {
         let declared = body.size_hint().exact();
         let restart = match &body {
             ReceivedBody::Whole(_) => None,
-            ReceivedBody::Coming(_) => held.restart(),
+            ReceivedBody::Streaming(_) => held.restart(),
         };
         let mut answer = Self {
             body,
--- a/crates/pinhaven-entry/src/request/attempt.rs
+++ b/crates/pinhaven-entry/src/request/attempt.rs
@@ -43,7 +43,7 @@
 pub(crate) enum AttemptEnd {
     NotSent,
     /// It was not sent, as the target had begun to leave or to rest.
-    Closed,
+    TargetClosed,
     /// It was not sent, as the request crashes targets.
     HeldBack {
         /// When it may be tried again, in milliseconds.
@@ -69,7 +69,11 @@
     idle_most: Duration,
 }
 
-pub(crate) fn request_for(job: &Job, attempt: &Attempt, attempts_left: u32) -> Option<Prepared> {
+pub(crate) fn prepare_request(
+    job: &Job,
+    attempt: &Attempt,
+    attempts_left: u32,
+) -> Option<Prepared> {
     let body = job.body.to_send()?;
     let mut request = Request::new(body);
     *request.method_mut() = job.method.clone();
@@ -152,7 +156,7 @@
         // The target may have asked to be left or let rest while the connection was made.
         let Ok(permit) = target.send_permit(entry.now()) else {
             pool.keep(connected.sender);
-            return AttemptEnd::Closed;
+            return AttemptEnd::TargetClosed;
         };
         let sending = pool::send(permit, connected.sender, request);
         let Some(sent) = entry.unless_restarted(target, sending).await else {
@@ -208,7 +212,7 @@
         log::warn!(target: "proxy", "An answer belonged to another request; it was dropped.");
         return Err(AttemptEnd::Broken);
     }
-    if facts.promises_too_much {
+    if facts.lacks_not_run_proof {
         entry.counters.add(Count::AttemptBroken);
         log::warn!(target: "proxy", "A target answered {status} without proof that it ran nothing.");
         return Err(AttemptEnd::Broken);
--- a/crates/pinhaven-entry/src/request/places.rs
+++ b/crates/pinhaven-entry/src/request/capacity_waiters.rs
@@ -6,9 +6,9 @@
 
 /// Those who wait for a place at a service's targets.
 #[derive(Default)]
-pub(crate) struct Places([Event; PRIORITY_COUNT]);
+pub(crate) struct CapacityWaiters([Event; PRIORITY_COUNT]);
 
-impl Places {
+impl CapacityWaiters {
     /// Listens for a free place. Listening begins with this call.
     pub(crate) fn listen(&self, priority: u8) -> EventListener {
         self.0[usize::from(priority).min(PRIORITY_COUNT - 1)].listen()
--- a/crates/pinhaven-entry/src/request/dispatch.rs
+++ b/crates/pinhaven-entry/src/request/dispatch.rs
@@ -5,12 +5,12 @@
 use crate::callers::hold::CallerHold;
 use crate::callers::job::Job;
 use crate::request::answer_body::AnswerBody;
-use crate::request::answer_body::Held;
+use crate::request::answer_body::AnswerGuard;
 use crate::request::attempt::Answer;
 use crate::request::attempt::AttemptEnd;
-use crate::request::attempt::request_for;
+use crate::request::attempt::prepare_request;
 use crate::request::attempt::run_attempt;
-use crate::request::subject::Subject;
+use crate::request::record_context::RecordContext;
 use crate::targets::pool::ReturnSender;
 use crate::watch::counters::Count;
 use crate::watch::latencies::Outcome;
@@ -191,7 +191,7 @@
     fn record(&mut self) {
         let entry = &self.job.entry;
         self.record_latency();
-        let Some(subject) = Subject::new(self.job) else {
+        let Some(subject) = RecordContext::new(self.job) else {
             return;
         };
         let trace = std::mem::take(&mut self.trace);
@@ -223,7 +223,7 @@
         });
         self.job.entry.counters.add(Count::Attempts);
         let attempts = self.request.downstream_attempts(attempt.id);
-        let outcome = match request_for(self.job, &attempt, attempts) {
+        let outcome = match prepare_request(self.job, &attempt, attempts) {
             Some(prepared) => {
                 let future = run_attempt(
                     Arc::clone(&self.job.entry),
@@ -293,7 +293,7 @@
                 self.free_place(attempt, Count::AttemptNotSent);
                 AttemptOutcome::NotSent
             }
-            AttemptEnd::Closed => {
+            AttemptEnd::TargetClosed => {
                 self.free_place(attempt, Count::AttemptClosed);
                 AttemptOutcome::TargetClosed
             }
@@ -334,7 +334,7 @@
     fn note_end(&mut self, attempt: &Attempt, end: &AttemptEnd) {
         let (outcome, status) = match end {
             AttemptEnd::NotSent => ("not_sent", None),
-            AttemptEnd::Closed => ("closed", None),
+            AttemptEnd::TargetClosed => ("closed", None),
             AttemptEnd::HeldBack { .. } => ("held_back", None),
             AttemptEnd::OtherTarget => ("misdirected", None),
             AttemptEnd::Broken => ("broken", None),
@@ -409,12 +409,12 @@
             status: answer.head.status.as_u16(),
         });
         let pool = self.job.service.pools.get(&attempt.target.address());
-        let held = Held {
+        let held = AnswerGuard {
             entry: Arc::clone(&self.job.entry),
-            place_freed: Arc::clone(&self.job.service.place_freed),
+            capacity_freed: Arc::clone(&self.job.service.place_freed),
             sender: ReturnSender::new(pool.cloned().unwrap_or_default(), answer.sender),
             attempt: Some(attempt),
-            subject: Subject::new(self.job),
+            subject: RecordContext::new(self.job),
             _hold: std::mem::take(&mut self.hold),
         };
         let mut head = answer.head;
--- a/crates/pinhaven-entry/src/request/mod.rs
+++ b/crates/pinhaven-entry/src/request/mod.rs
@@ -5,6 +5,6 @@
 
 pub(crate) mod answer_body;
 pub(crate) mod attempt;
+pub(crate) mod capacity_waiters;
 pub(crate) mod dispatch;
-pub(crate) mod places;
-pub(crate) mod subject;
+pub(crate) mod record_context;
--- a/crates/pinhaven-entry/src/request/subject.rs
+++ b/crates/pinhaven-entry/src/request/record_context.rs
@@ -7,12 +7,12 @@
 use pinhaven_record::TraceEvent;
 
 /// A request's id, and the facts that each line on it carries.
-pub(crate) struct Subject {
+pub(crate) struct RecordContext {
     id: String,
     facts: [(&'static str, String); 3],
 }
 
-impl Subject {
+impl RecordContext {
     /// Of a request; `None` where there is no record.
     pub(crate) fn new(job: &Job) -> Option<Self> {
         job.entry.recorder.as_ref()?;
--- a/crates/pinhaven-entry/src/targets/orders.rs
+++ b/crates/pinhaven-entry/src/targets/orders.rs
@@ -6,7 +6,7 @@
 use crate::versions::service_entry::ServiceEntry;
 use crate::versions::snapshot::KeyedTarget;
 use crate::watch::counters::Count;
-use crate::wire::rest::HeardOrders;
+use crate::wire::rest::ReceivedOrders;
 use pinhaven_decide::AnswerOrders;
 use pinhaven_decide::TargetState;
 use pinhaven_record::Line;
@@ -40,7 +40,7 @@
         &self,
         service: &ServiceEntry,
         target: &TargetState,
-        heard: &HeardOrders,
+        heard: &ReceivedOrders,
         source: OrderSource,
     ) {
         let orders = self.bounded(heard, target);
@@ -91,7 +91,7 @@
     }
 
     /// The orders that can be read, with no rest longer than a target may ask for.
-    fn bounded(&self, heard: &HeardOrders, target: &TargetState) -> AnswerOrders {
+    fn bounded(&self, heard: &ReceivedOrders, target: &TargetState) -> AnswerOrders {
         let most = Microseconds::from_ms(self.settings.target_rest_most_ms);
         let is_too_long = heard.orders.rest > Some(most);
         if heard.has_bad_rest || is_too_long {
--- a/crates/pinhaven-entry/src/versions/service_entry.rs
+++ b/crates/pinhaven-entry/src/versions/service_entry.rs
@@ -1,6 +1,6 @@
 //! A service as a request finds it: its configuration, what is known of its targets, and connections.
 
-use crate::request::places::Places;
+use crate::request::capacity_waiters::CapacityWaiters;
 use crate::targets::pool::TargetPool;
 use pinhaven_bundle::Service;
 use pinhaven_bundle::Target;
@@ -17,7 +17,7 @@
     pub(crate) state: Arc<ServiceState>,
     pub(crate) pools: HashMap<TargetAddress, Arc<TargetPool>>,
     /// Notified when a request of the service leaves its place.
-    pub(crate) place_freed: Arc<Places>,
+    pub(crate) place_freed: Arc<CapacityWaiters>,
 }
 
 /// A service of a new version, with what is known from the one before.
--- a/crates/pinhaven-entry/src/wire/dialect.rs
+++ b/crates/pinhaven-entry/src/wire/dialect.rs
@@ -6,7 +6,7 @@
 
 use crate::wire::header;
 use crate::wire::load_report;
-use crate::wire::rest::HeardOrders;
+use crate::wire::rest::ReceivedOrders;
 use crate::wire::rest::read_rest;
 use http::HeaderMap;
 use http::HeaderValue;
@@ -32,7 +32,7 @@
     /// How long it waits, in milliseconds.
     pub deadline_ms: Option<u64>,
     /// Attempts that may be made in all.
-    pub attempts_most: Option<u32>,
+    pub attempts_max: Option<u32>,
 }
 
 /// A field of a request that can't be understood.
@@ -68,7 +68,7 @@
     pub is_genuine: bool,
     /// Callers would take its status for the word that the request did not run, which the target has
     /// not said.
-    pub promises_too_much: bool,
+    pub lacks_not_run_proof: bool,
     /// Its load.
     pub report: Option<LoadReport>,
     /// Added attempts that are left, if it says so.
@@ -134,7 +134,7 @@
     ) -> AnswerFacts;
 
     /// Reads what a target asks for with an answer, whatever else is wrong with that.
-    fn read_orders(&self, status: StatusCode, headers: &HeaderMap) -> HeardOrders;
+    fn read_orders(&self, status: StatusCode, headers: &HeaderMap) -> ReceivedOrders;
 
     /// Prepares a target's answer for the caller whose request had these headers.
     fn pass_answer(&self, request: &HeaderMap, answer: &mut HeaderMap);
@@ -189,7 +189,7 @@
         })?;
         Ok(CallerFacts {
             deadline_ms,
-            attempts_most: attempts.map(|n| u32::try_from(n.max(1)).unwrap_or(u32::MAX)),
+            attempts_max: attempts.map(|n| u32::try_from(n.max(1)).unwrap_or(u32::MAX)),
         })
     }
 
@@ -231,15 +231,15 @@
             is_not_run: service.not_run_statuses.contains(&status.as_u16()),
             is_other_target: false,
             is_genuine: true,
-            promises_too_much: false,
+            lacks_not_run_proof: false,
             report: load_report::from_headers(headers),
             attempts_left: attempts_left.map(|left| u32::try_from(left).unwrap_or(u32::MAX)),
         }
     }
 
-    fn read_orders(&self, status: StatusCode, headers: &HeaderMap) -> HeardOrders {
+    fn read_orders(&self, status: StatusCode, headers: &HeaderMap) -> ReceivedOrders {
         let report = load_report::from_headers(headers);
-        HeardOrders::new(
+        ReceivedOrders::new(
             report.is_some_and(|report| report.is_draining),
             read_rest(status, headers),
         )
--- a/crates/pinhaven-entry/src/wire/rest.rs
+++ b/crates/pinhaven-entry/src/wire/rest.rs
@@ -16,29 +16,29 @@
 
 /// The rest that an answer asks for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct HeardRest {
+pub struct ReceivedRest {
     /// How long; the longest where it says several.
-    pub time: Option<Microseconds>,
+    pub duration: Option<Microseconds>,
     /// Whether a field could not be read.
     pub has_bad_field: bool,
 }
 
 /// What an answer asks for, and whether all of it could be read.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct HeardOrders {
+pub struct ReceivedOrders {
     /// What could be read.
     pub orders: AnswerOrders,
     /// Whether a rest was asked for in a way that can't be read.
     pub has_bad_rest: bool,
 }
 
-impl HeardOrders {
+impl ReceivedOrders {
     /// Of a target that leaves or does not, and asks for a rest.
-    pub fn new(leaves: bool, rest: HeardRest) -> Self {
+    pub fn new(leaves: bool, rest: ReceivedRest) -> Self {
         Self {
             orders: AnswerOrders {
                 leaves,
-                rest: rest.time,
+                rest: rest.duration,
             },
             has_bad_rest: rest.has_bad_field,
         }
@@ -47,15 +47,15 @@
 
 /// Reads the rest that an answer asks for: `Retry-After` (RFC 9110, 10.2.3) on a 503, in seconds, also with a fraction, or
 /// as a date, which counts from the answer's own `Date`. On other answers the field speaks of the request alone.
-pub fn read_rest(status: StatusCode, headers: &HeaderMap) -> HeardRest {
+pub fn read_rest(status: StatusCode, headers: &HeaderMap) -> ReceivedRest {
     if status != StatusCode::SERVICE_UNAVAILABLE {
-        return HeardRest::default();
+        return ReceivedRest::default();
     }
     let dated = headers.get(DATE).and_then(date);
-    let mut rest = HeardRest::default();
+    let mut rest = ReceivedRest::default();
     for value in headers.get_all(RETRY_AFTER) {
         match seconds(value).or_else(|| until(value, dated?)) {
-            Some(time) => rest.time = rest.time.max(Some(time)),
+            Some(time) => rest.duration = rest.duration.max(Some(time)),
             None => rest.has_bad_field = true,
         }
     }
--- a/crates/pinhaven-entry/tests/rest.rs
+++ b/crates/pinhaven-entry/tests/rest.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use http::header::DATE;
 use http::header::RETRY_AFTER;
-use pinhaven_entry::HeardRest;
+use pinhaven_entry::ReceivedRest;
 use pinhaven_entry::read_rest;
 use pinhaven_types::Microseconds;
 
@@ -21,7 +21,7 @@
     headers
 }
 
-fn read(values: &[&[u8]]) -> HeardRest {
+fn read(values: &[&[u8]]) -> ReceivedRest {
     read_rest(BUSY, &with_fields(values))
 }
 
@@ -40,7 +40,7 @@
     ] {
         let rest = read(&[text.as_bytes()]);
         assert_eq!(
-            (rest.time, rest.has_bad_field),
+            (rest.duration, rest.has_bad_field),
             (ms(rest_ms), false),
             "{text}"
         );
@@ -55,10 +55,10 @@
         "nobody knows what time it is there"
     );
     headers.insert(DATE, HeaderValue::from_static(NOON));
-    assert_eq!(read_rest(BUSY, &headers).time, ms(10_000));
+    assert_eq!(read_rest(BUSY, &headers).duration, ms(10_000));
     headers.insert(RETRY_AFTER, HeaderValue::from_static(NOON));
     headers.insert(DATE, HeaderValue::from_static(TEN_SECONDS_LATER));
-    assert_eq!(read_rest(BUSY, &headers).time, ms(0), "it is over");
+    assert_eq!(read_rest(BUSY, &headers).duration, ms(0), "it is over");
 }
 
 #[test]
@@ -76,16 +76,20 @@
     ];
     for value in nonsense {
         let rest = read(&[value]);
-        assert_eq!((rest.time, rest.has_bad_field), (None, true), "{value:?}");
+        assert_eq!(
+            (rest.duration, rest.has_bad_field),
+            (None, true),
+            "{value:?}"
+        );
     }
 }
 
 #[test]
 fn the_longest_of_several_counts_and_a_huge_one_is_no_error() {
     let rest = read(&[b"1", b"soon", b"4", b"2"]);
-    assert_eq!((rest.time, rest.has_bad_field), (ms(4_000), true));
+    assert_eq!((rest.duration, rest.has_bad_field), (ms(4_000), true));
     let huge = "9".repeat(400);
-    assert!(read(&[huge.as_bytes()]).time > ms(1_000_000_000));
+    assert!(read(&[huge.as_bytes()]).duration > ms(1_000_000_000));
 }
 
 #[test]
@@ -93,6 +97,6 @@
     let headers = with_fields(&[b"3"]);
     for status in [200, 202, 301, 429, 500, 502] {
         let status = StatusCode::from_u16(status).unwrap();
-        assert_eq!(read_rest(status, &headers), HeardRest::default());
+        assert_eq!(read_rest(status, &headers), ReceivedRest::default());
     }
 }
