--- a/crates/pinhaven-entry/src/request/answer_body.rs
+++ b/crates/pinhaven-entry/src/request/answer_body.rs
@@ -1,8 +1,8 @@
-//! Bodies of answers.
+//! Bodies of answers on their way from a target to a caller.
 //!
-//! Small ones are taken in whole before their head is passed on, so that a request whose answer is cut
-//! can still be tried elsewhere. Larger ones are passed on as they come; a cut of those is a cut for the
-//! caller.
+//! A small body is buffered in full before the head of its answer is forwarded, so that a request whose answer is
+//! truncated can still be retried at another target. A larger body is streamed; if the target truncates it, the
+//! caller's connection is aborted, so that the caller sees the truncation too.
 
 use crate::callers::hold::CallerHold;
 use crate::entry::Entry;
@@ -30,17 +30,17 @@
 use std::task::Context;
 use std::task::Poll;
 
-/// The largest answer that is taken in whole, in bytes. Those of the users' services have up to 30 KB; a
-/// thousand at a time fit into the memory of a small instance.
-const HELD_BYTES_MOST: u64 = 64 * 1024;
+/// Largest answer body that is buffered in full, in bytes. Typical answers have up to 30 KB, and the memory of a small
+/// instance holds a thousand buffers of this size at a time.
+const BUFFERED_BYTES_MAX: u64 = 64 * 1024;
 
-/// Collects an answer's body; `None` when it is cut or larger than `most` bytes.
-pub(crate) async fn collect_answer(mut body: AnyBody, most: usize) -> Option<Bytes> {
+/// Collects an answer's body; `None` if the body is truncated or larger than `bytes_max`.
+pub(crate) async fn collect_answer(mut body: AnyBody, bytes_max: usize) -> Option<Bytes> {
     let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.ok()?;
         if let Some(data) = frame.data_ref() {
-            if collected.len() + data.len() > most {
+            if collected.len() + data.len() > bytes_max {
                 return None;
             }
             collected.extend_from_slice(data);
@@ -49,26 +49,26 @@
     Some(collected.freeze())
 }
 
-/// An answer's body as a target sends it.
+/// Body of an answer, as received from a target.
 pub(crate) enum ReceivedBody {
-    /// All of it is here; `None` once it has been passed on.
+    /// A body received in full; `None` once forwarded.
     Whole(Option<Bytes>),
-    /// It is passed on as it comes.
+    /// A body that is forwarded frame by frame as it arrives.
     Streaming(Incoming),
 }
 
 impl ReceivedBody {
-    /// Takes a body in, whole if it says that it is small enough. `None` when it was cut; then nothing of
-    /// it has gone to the caller, and the request may be tried elsewhere.
+    /// Receives a body, in full if its declared length is at most [`BUFFERED_BYTES_MAX`]. Returns `None` if such a body
+    /// is truncated: nothing of the body has reached the caller then, and the request may be retried at another target.
     pub(crate) async fn receive(body: Incoming) -> Option<Self> {
-        let declared = body.size_hint().exact();
-        let is_small = declared.is_some_and(|bytes| bytes <= HELD_BYTES_MOST);
+        let declared_bytes = body.size_hint().exact();
+        let is_small = declared_bytes.is_some_and(|bytes| bytes <= BUFFERED_BYTES_MAX);
         if body.is_end_stream() || !is_small {
             return Some(Self::Streaming(body));
         }
         let body = body.map_err(Into::into).boxed_unsync();
-        let whole = collect_answer(body, HELD_BYTES_MOST as usize).await?;
-        let is_whole = declared == Some(whole.len() as u64);
+        let whole = collect_answer(body, BUFFERED_BYTES_MAX as usize).await?;
+        let is_whole = declared_bytes == Some(whole.len() as u64);
         is_whole.then_some(Self::Whole(Some(whole)))
     }
 }
@@ -103,27 +103,30 @@
     }
 }
 
-/// Whether the end of an answer's body can be told from a cut.
+/// Whether a truncation of the body can be detected: the body has ended, declares its length, or has a
+/// transfer encoding.
 pub(crate) fn is_bounded(headers: &HeaderMap, body: &Incoming) -> bool {
     body.is_end_stream()
         || body.size_hint().exact().is_some()
         || headers.contains_key(http::header::TRANSFER_ENCODING)
 }
 
-/// What is held while an answer's body is passed on.
+/// Resources held until an answer's body has been forwarded: the attempt's capacity at its target, the connection to
+/// the target, and the request's resources at the entry.
 pub(crate) struct AnswerGuard {
     pub(crate) entry: Arc<Entry>,
     pub(crate) attempt: Option<Attempt>,
     pub(crate) capacity_freed: Arc<CapacityWaiters>,
     pub(crate) sender: ReturnSender,
-    /// What the record says of the request, if there is one.
-    pub(crate) subject: Option<RecordContext>,
-    /// Kept only to be dropped with the rest.
-    pub(crate) _hold: CallerHold,
+    /// Facts for record lines on the request; `None` if the entry has no recorder.
+    pub(crate) record_context: Option<RecordContext>,
+    /// Held only for its `Drop`.
+    pub(crate) _request_guard: CallerHold,
 }
 
 impl AnswerGuard {
-    /// Comes when the target has started again, if that can be told.
+    /// Returns a future that completes once the target has restarted; `None` if the target's incarnation is unknown, as
+    /// a restart can't be detected then.
     fn restart(&self) -> Option<Pin<Box<dyn Future<Output = ()> + Send>>> {
         let target = Arc::clone(&self.attempt.as_ref()?.target);
         target.incarnation()?;
@@ -133,50 +136,51 @@
         }))
     }
 
-    /// The target broke off after `passed_bytes` of its answer had been passed on.
+    /// Counts and records that the target's answer broke off after `passed_bytes` had been forwarded.
     fn record_cut(&self, passed_bytes: u64) {
         self.entry.counters.add(Count::AnswerCut);
         let attempt = self.attempt.as_ref().map_or(0, |attempt| attempt.id.0);
-        if let Some(subject) = &self.subject {
+        if let Some(record_context) = &self.record_context {
             let event = TraceEvent::AnswerCut {
                 attempt,
                 passed_bytes,
             };
-            subject.record(&self.entry, event);
+            record_context.record(&self.entry, event);
         }
     }
 }
 
 impl Drop for AnswerGuard {
     fn drop(&mut self) {
-        // The place is given back before the next request is told of it.
+        // Releases the attempt's capacity before a waiting request is notified of it.
         self.attempt = None;
         self.capacity_freed.notify(1);
     }
 }
 
-/// An answer's body, passed on as it comes. It ends well only if the target's did.
+/// Body of an answer to a caller, forwarded from a target. The body ends without an error only if the target sent all
+/// of it.
 pub(crate) struct AnswerBody {
     body: ReceivedBody,
-    declared: Option<u64>,
-    passed: u64,
-    held: Option<AnswerGuard>,
-    /// Comes when the target has started again and will send no more of it.
+    declared_bytes: Option<u64>,
+    passed_bytes: u64,
+    guard: Option<AnswerGuard>,
+    /// Completes when the target has restarted and will send no more of this body.
     restart: Option<Pin<Box<dyn Future<Output = ()> + Send>>>,
 }
 
 impl AnswerBody {
-    pub(crate) fn new(body: ReceivedBody, held: AnswerGuard) -> Self {
-        let declared = body.size_hint().exact();
+    pub(crate) fn new(body: ReceivedBody, guard: AnswerGuard) -> Self {
+        let declared_bytes = body.size_hint().exact();
         let restart = match &body {
             ReceivedBody::Whole(_) => None,
-            ReceivedBody::Streaming(_) => held.restart(),
+            ReceivedBody::Streaming(_) => guard.restart(),
         };
         let mut answer = Self {
             body,
-            declared,
-            passed: 0,
-            held: Some(held),
+            declared_bytes,
+            passed_bytes: 0,
+            guard: Some(guard),
             restart,
         };
         if answer.body.is_end_stream() {
@@ -185,34 +189,37 @@
         answer
     }
 
-    /// Whether the target has started again while more of its answer was awaited.
+    /// Whether the target has restarted before it sent the whole answer.
     fn poll_restart(&mut self, context: &mut Context<'_>) -> bool {
         let restart = self.restart.as_mut();
         restart.is_some_and(|restart| restart.as_mut().poll(context).is_ready())
     }
 
-    /// The answer broke off. The error makes the server break the caller's connection, so that the caller
-    /// can't take what it has for the whole.
-    fn cut(&mut self, error: BoxError) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
-        let passed = self.passed;
-        if let Some(held) = self.held.take() {
-            held.record_cut(passed);
+    /// Ends a truncated answer with an error. The error makes the server abort the caller's connection, so that the
+    /// caller can't mistake the part received for the whole answer.
+    fn abort(&mut self, error: BoxError) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
+        let passed_bytes = self.passed_bytes;
+        if let Some(guard) = self.guard.take() {
+            guard.record_cut(passed_bytes);
         }
         self.restart = None;
         Poll::Ready(Some(Err(error)))
     }
 
-    /// The target's answer has ended. Returns whether it was whole.
+    /// Handles the end of the target's answer and returns whether the answer was complete. The connection to the target
+    /// is reused only then.
     fn finish(&mut self) -> bool {
-        let passed = self.passed;
-        let is_whole = self.declared.is_none_or(|declared| declared == passed);
+        let passed_bytes = self.passed_bytes;
+        let is_whole = self
+            .declared_bytes
+            .is_none_or(|declared| declared == passed_bytes);
         let holds = require_promise(Promise::WholeOwnAnswer, is_whole, || {
-            format!("an answer ended after {passed} bytes")
+            format!("an answer ended after {passed_bytes} bytes")
         });
-        if let Some(mut held) = self.held.take()
+        if let Some(mut guard) = self.guard.take()
             && holds
         {
-            held.sender.finished();
+            guard.sender.finished();
         }
         holds
     }
@@ -228,24 +235,24 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         let Poll::Ready(frame) = Pin::new(&mut self.body).poll_frame(context) else {
             return match self.poll_restart(context) {
-                true => self.cut("the target started again".into()),
+                true => self.abort("the target restarted".into()),
                 false => Poll::Pending,
             };
         };
         match frame {
             Some(Ok(frame)) => {
-                self.passed += frame.data_ref().map_or(0, |data| data.len() as u64);
+                self.passed_bytes += frame.data_ref().map_or(0, |data| data.len() as u64);
                 if self.body.is_end_stream() {
                     self.finish();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
-            Some(Err(error)) => self.cut(error),
+            Some(Err(error)) => self.abort(error),
             None => {
-                if self.held.is_none() || self.finish() {
+                if self.guard.is_none() || self.finish() {
                     Poll::Ready(None)
                 } else {
-                    Poll::Ready(Some(Err("the answer was cut".into())))
+                    Poll::Ready(Some(Err("the answer was truncated".into())))
                 }
             }
         }
--- a/crates/pinhaven-entry/src/request/attempt.rs
+++ b/crates/pinhaven-entry/src/request/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one target.
+//! Execution of one attempt: a request is sent to one target, and the target's answer is received and checked.
 
 use crate::callers::job::Job;
 use crate::entry::Entry;
@@ -28,10 +28,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections that closed while idle and that one attempt may meet.
+/// Maximum number of stale connections, closed by the target while idle, that one attempt may encounter.
 const STALE_CONNECTIONS_MAX: usize = 8;
 
-/// An answer, with what came along.
+/// An answer of a target, with the connection that it arrived on and the facts read from its head.
 pub(crate) struct Answer {
     pub(crate) head: Parts,
     pub(crate) body: ReceivedBody,
@@ -39,41 +39,46 @@
     pub(crate) facts: AnswerFacts,
 }
 
-/// How an attempt ended, with its answer if there is one.
+/// Outcome of an attempt, with the target's answer if there is one.
 pub(crate) enum AttemptEnd {
+    /// The request was not sent.
     NotSent,
-    /// It was not sent, as the target had begun to leave or to rest.
+    /// The request was not sent, because the target had begun to leave or to rest.
     TargetClosed,
-    /// It was not sent, as the request crashes targets.
+    /// The request was not sent, because it is suspected of crashing targets.
     HeldBack {
-        /// When it may be tried again, in milliseconds.
+        /// Time until the request may be retried, in milliseconds.
         for_ms: u64,
     },
-    /// Another target has the address now and did not run the request.
+    /// Another target has this address now and did not run the request.
     OtherTarget,
+    /// Sending the request or receiving its answer failed, or the answer was rejected. The target may have run the
+    /// request.
     Broken,
-    /// The target has started again and knows nothing of the request, which it may have run before.
+    /// The target has restarted and lost the request, which its earlier run may have executed.
     Restarted,
-    /// The answer ended before its declared end.
+    /// The answer's body was truncated.
     Cut,
-    /// The connection or the answer broke, and nobody listens at the target's address any more.
+    /// The connection or the answer broke, and the target's address refuses connections since.
     Crashed,
+    /// The target's answer passed all checks.
     Answer(Box<Answer>),
 }
 
-/// A request ready to be sent, and the id that its answer must carry.
-pub(crate) struct Prepared {
+/// Request ready to be sent, with the id that its answer must carry.
+pub(crate) struct PreparedRequest {
     request: Request<AnyBody>,
     id: Option<HeaderValue>,
-    /// How long a connection may have been idle to be used for it.
-    idle_most: Duration,
+    /// Maximum idle time of a connection reused for this request.
+    idle_max: Duration,
 }
 
+/// Builds the request of an attempt; `None` if the body can't be sent again or a part of the URI is missing or invalid.
 pub(crate) fn prepare_request(
     job: &Job,
     attempt: &Attempt,
     attempts_left: u32,
-) -> Option<Prepared> {
+) -> Option<PreparedRequest> {
     let body = job.body.to_send()?;
     let mut request = Request::new(body);
     *request.method_mut() = job.method.clone();
@@ -97,31 +102,31 @@
         attempt_id: &attempt_id,
     };
     let id = job.entry.dialect.write_attempt(headers, &facts);
-    let idle_most = if job.is_repeatable {
+    let idle_max = if job.is_repeatable {
         IDLE_MOST
     } else {
         IDLE_MOST_ONCE
     };
-    Some(Prepared {
+    Some(PreparedRequest {
         request,
         id,
-        idle_most,
+        idle_max,
     })
 }
 
-/// Sends one attempt and waits for its answer: all of a small one, the head of a large one. Where either breaks,
-/// waits for the word whether the target has crashed.
+/// Sends one attempt and waits for its answer: all of a small answer, the head of a large answer. If sending or
+/// receiving fails, checks whether the target refuses connections, which shows that the target has crashed.
 pub(crate) async fn run_attempt(
     entry: Arc<Entry>,
     service: Arc<ServiceEntry>,
     target: Arc<TargetState>,
-    prepared: Prepared,
+    prepared: PreparedRequest,
 ) -> AttemptEnd {
     let address = target.address();
     let pool = service.pools.get(&address).cloned().unwrap_or_default();
     let end = send_attempt(entry, service, &target, &pool, prepared).await;
     let is_broken = matches!(end, AttemptEnd::Broken | AttemptEnd::Cut);
-    // A target that leaves ends as planned, also when it cuts what it had.
+    // The end of a leaving target is planned and is no crash, even if the target aborts its requests.
     if is_broken && !target.is_leaving() && pool.is_refused(address).await {
         return AttemptEnd::Crashed;
     }
@@ -133,17 +138,17 @@
     service: Arc<ServiceEntry>,
     target: &TargetState,
     pool: &TargetPool,
-    prepared: Prepared,
+    prepared: PreparedRequest,
 ) -> AttemptEnd {
     let address = target.address();
-    let Prepared {
+    let PreparedRequest {
         mut request,
         id,
-        idle_most,
+        idle_max,
     } = prepared;
     for _ in 0..STALE_CONNECTIONS_MAX {
         let began = entry.now();
-        let Ok(connected) = pool.connect(address, idle_most).await else {
+        let Ok(connected) = pool.connect(address, idle_max).await else {
             return AttemptEnd::NotSent;
         };
         if connected.is_new {
@@ -153,14 +158,14 @@
         if entry.has_restarted(target) {
             return AttemptEnd::NotSent;
         }
-        // The target may have asked to be left or let rest while the connection was made.
+        // The target may have begun to leave or to rest while the connection was established.
         let Ok(permit) = target.send_permit(entry.now()) else {
             pool.keep(connected.sender);
             return AttemptEnd::TargetClosed;
         };
         let sending = pool::send(permit, connected.sender, request);
         let Some(sent) = entry.unless_restarted(target, sending).await else {
-            log::debug!(target: "proxy", "{address} started again with a request under way.");
+            log::debug!(target: "proxy", "Target {address} restarted with a request in flight.");
             return AttemptEnd::Restarted;
         };
         match sent {
@@ -168,7 +173,7 @@
                 let id = id.as_ref();
                 return match check_answer(&entry, &service, target, &response, id) {
                     Ok(facts) => {
-                        let receiving = receive(&entry, response, sender, facts);
+                        let receiving = receive_answer(&entry, response, sender, facts);
                         let received = entry.unless_restarted(target, receiving).await;
                         received.unwrap_or(AttemptEnd::Restarted)
                     }
@@ -177,7 +182,7 @@
             }
             Sent::Unsent(unsent) => request = *unsent,
             Sent::Broken(error) => {
-                log::debug!(target: "proxy", "Sending to {address} broke: {error}.");
+                log::debug!(target: "proxy", "Sending a request to {address} failed: {error}.");
                 return AttemptEnd::Broken;
             }
         }
@@ -185,8 +190,8 @@
     AttemptEnd::NotSent
 }
 
-/// Reads the head of an answer, and takes it only if it belongs to the request and its end can be told
-/// from a cut.
+/// Reads the head of an answer, and accepts the answer only if it belongs to the request, is genuine, and would show
+/// a truncation. Reports and directives of the target are applied even if the answer is rejected.
 fn check_answer(
     entry: &Entry,
     service: &ServiceEntry,
@@ -197,29 +202,29 @@
     let (status, headers) = (response.status(), response.headers());
     let facts = entry.dialect.read_answer(status, headers, &service.config);
     if facts.is_other_target {
-        // The report is the other target's.
+        // The load report belongs to the other target.
         return Err(AttemptEnd::OtherTarget);
     }
-    // Whosever answer it is, and whatever is wrong with it, what the target asks for with it holds.
+    // The target's directives apply even if the answer belongs to another request or is rejected below.
     let orders = entry.dialect.read_orders(status, headers);
     entry.hear_orders(service, target, &orders, OrderSource::Answer);
     if !entry.dialect.is_answer_to(headers, id, &service.config) {
         entry.counters.add(Count::AttemptCrossed);
-        // Whosever answer it is, the report on it is the target's.
+        // The load report describes the target, whichever request the answer belongs to.
         if let Some(report) = &facts.report {
             service.state.record_report(target, entry.now(), report);
         }
-        log::warn!(target: "proxy", "An answer belonged to another request; it was dropped.");
+        log::warn!(target: "proxy", "Dropped an answer that belongs to another request.");
         return Err(AttemptEnd::Broken);
     }
     if facts.lacks_not_run_proof {
         entry.counters.add(Count::AttemptBroken);
-        log::warn!(target: "proxy", "A target answered {status} without proof that it ran nothing.");
+        log::warn!(target: "proxy", "Dropped a {status} answer without proof that the request did not run.");
         return Err(AttemptEnd::Broken);
     }
     if status.is_success() && !facts.is_genuine {
         entry.counters.add(Count::AttemptForged);
-        log::warn!(target: "proxy", "A success lacked the mark of a target's answer; it was dropped.");
+        log::warn!(target: "proxy", "Dropped a successful answer that lacks the marks of a target's answer.");
         return Err(AttemptEnd::Broken);
     }
     if !service.config.unbounded_answers && !is_bounded(headers, response.body()) {
@@ -229,8 +234,8 @@
     Ok(facts)
 }
 
-/// Takes the body of an answer in.
-async fn receive(
+/// Receives the body of an answer: a small body in full, a large body as a stream.
+async fn receive_answer(
     entry: &Entry,
     response: Response<Incoming>,
     sender: Sender,
--- a/crates/pinhaven-entry/src/request/capacity_waiters.rs
+++ b/crates/pinhaven-entry/src/request/capacity_waiters.rs
@@ -1,27 +1,29 @@
-//! Telling waiting requests that a place is free, the more urgent first.
+//! Notification of requests that wait for capacity at the targets of a service.
+//!
+//! There is one event per priority. Freed capacity is offered to the highest priority with waiting requests first.
 
 use event_listener::Event;
 use event_listener::EventListener;
 use pinhaven_decide::PRIORITY_COUNT;
 
-/// Those who wait for a place at a service's targets.
+/// Requests that wait for capacity at a service's targets, by priority.
 #[derive(Default)]
 pub(crate) struct CapacityWaiters([Event; PRIORITY_COUNT]);
 
 impl CapacityWaiters {
-    /// Listens for a free place. Listening begins with this call.
+    /// Listens for freed capacity, starting with this call rather than with the first poll.
     pub(crate) fn listen(&self, priority: u8) -> EventListener {
         self.0[usize::from(priority).min(PRIORITY_COUNT - 1)].listen()
     }
 
-    /// Tells as many requests as there are places, the most urgent first.
-    pub(crate) fn notify(&self, places: usize) {
-        let mut left = places;
+    /// Notifies at most `count` waiting requests, those of the highest priority first.
+    pub(crate) fn notify(&self, count: usize) {
+        let mut remaining = count;
         for event in self.0.iter().rev() {
-            if left == 0 {
+            if remaining == 0 {
                 return;
             }
-            left -= event.notify(left).min(left);
+            remaining -= event.notify(remaining).min(remaining);
         }
     }
 }
--- a/crates/pinhaven-entry/src/request/dispatch.rs
+++ b/crates/pinhaven-entry/src/request/dispatch.rs
@@ -1,6 +1,8 @@
-//! Driving a request to its final answer.
+//! Event loop that drives a request to its final answer.
 //!
-//! Events go to a [`RequestState`], and the actions that come back are carried out.
+//! The loop passes events (arrival, ends of attempts, timers, freed capacity) to a [`RequestState`] and carries out the
+//! actions that the state returns: send or cancel an attempt, deliver an answer, or refuse the request. The request's
+//! trace is recorded when the driver is dropped, so that it is recorded even if the caller disconnects.
 
 use crate::callers::hold::CallerHold;
 use crate::callers::job::Job;
@@ -44,8 +46,8 @@
 use std::sync::Arc;
 use std::task::Poll;
 
-/// Drives a request to its final answer.
-pub(crate) async fn dispatch(job: &Job, hold: CallerHold) -> Response<AnyBody> {
+/// Drives a request to its final answer, which is a target's answer or a refusal.
+pub(crate) async fn dispatch(job: &Job, request_guard: CallerHold) -> Response<AnyBody> {
     let facts = RequestFacts {
         is_repeatable: job.is_repeatable,
         is_replayable: job.body.is_replayable(),
@@ -61,63 +63,66 @@
     if let Some(route) = &job.routed.route {
         request = request.with_route(Arc::clone(&route.state));
     }
-    let mut run = Run {
+    let mut driver = RequestDriver {
         job,
         request,
         random: fastrand::Rng::new(),
-        under_way: Vec::new(),
+        in_flight: Vec::new(),
         answers: Vec::new(),
-        hold,
+        request_guard,
         began: job.entry.now(),
         may_have_run: false,
         outcome: Outcome::CallerLeft,
         trace: Trace::default(),
     };
-    run.drive().await
+    driver.drive().await
 }
 
-/// An attempt's future, with the place that it holds.
-struct UnderWay {
+/// An attempt and the future of its outcome. The attempt holds capacity at its target until it is dropped.
+struct AttemptInFlight {
     attempt: Attempt,
     outcome: Pin<Box<dyn Future<Output = AttemptEnd> + Send>>,
 }
 
-struct Run<'job> {
+/// State of a request that is being dispatched.
+struct RequestDriver<'job> {
     job: &'job Job,
     request: RequestState,
     random: fastrand::Rng,
-    under_way: Vec<UnderWay>,
+    in_flight: Vec<AttemptInFlight>,
+    /// Answers received and not yet delivered; their attempts still hold capacity.
     answers: Vec<(Attempt, Answer)>,
-    hold: CallerHold,
+    request_guard: CallerHold,
     began: Microseconds,
-    /// Whether a target may have run it in an attempt that has ended.
+    /// Whether a target may have run the request in an attempt that has ended.
     may_have_run: bool,
     outcome: Outcome,
     trace: Trace,
 }
 
-impl Drop for Run<'_> {
+impl Drop for RequestDriver<'_> {
     fn drop(&mut self) {
         if !self.request.is_over() {
-            self.note(TraceEvent::CallerLeft);
+            self.add_trace(TraceEvent::CallerLeft);
         }
         self.record();
-        // A caller that leaves drops this future: its place at the entry and at the targets is free.
+        // A caller that disconnects drops this future, which releases the request's capacity at the entry and at its
+        // targets.
         let event = Event::CallerLeft;
         self.handle(event);
-        let places = self.under_way.len() + self.answers.len();
-        self.under_way.clear();
+        let attempt_count = self.in_flight.len() + self.answers.len();
+        self.in_flight.clear();
         self.answers.clear();
-        self.job.service.place_freed.notify(places.max(1));
+        self.job.service.place_freed.notify(attempt_count.max(1));
     }
 }
 
-impl Run<'_> {
+impl RequestDriver<'_> {
     async fn drive(&mut self) -> Response<AnyBody> {
         let mut step = self.arrive();
         loop {
-            // Listening begins before the actions, so that no freed place is missed.
-            let place = step
+            // Listens before the actions are carried out, so that no notification of freed capacity is missed.
+            let capacity = step
                 .awaits_capacity
                 .then(|| self.job.service.place_freed.listen(self.priority()));
             for action in std::mem::take(&mut step.actions) {
@@ -129,7 +134,7 @@
                 }
             }
             self.drop_answers();
-            let event = self.next_event(&step, place).await;
+            let event = self.next_event(&step, capacity).await;
             step = self.handle(event);
         }
     }
@@ -157,7 +162,7 @@
         self.outcome = Outcome::Refused;
         self.job.entry.counters.add_refusal(refusal.reason);
         let problem = Problem::from(refusal);
-        self.note(TraceEvent::Refused {
+        self.add_trace(TraceEvent::Refused {
             reason: refusal.reason.name(),
             run: refusal.run_state.name(),
             status: problem.status.as_u16(),
@@ -181,24 +186,24 @@
         }
     }
 
-    fn note(&mut self, event: TraceEvent) {
+    fn add_trace(&mut self, event: TraceEvent) {
         if self.job.entry.recorder.is_some() {
             self.trace.add(self.job.entry.now().count(), event);
         }
     }
 
-    /// Records what has happened to the request, once it is over.
+    /// Records the latency and the trace of the request.
     fn record(&mut self) {
         let entry = &self.job.entry;
         self.record_latency();
-        let Some(subject) = RecordContext::new(self.job) else {
+        let Some(context) = RecordContext::new(self.job) else {
             return;
         };
         let trace = std::mem::take(&mut self.trace);
         let aim_us = self.job.routed.config().map(|route| route.aim_ms * 1_000);
         let took = entry.now().saturating_sub(self.began).plus(self.job.waited);
         let importance = trace.importance(took.count(), aim_us);
-        subject.record_trace(entry, trace, importance);
+        context.record_trace(entry, trace, importance);
     }
 
     fn record_latency(&self) {
@@ -210,14 +215,14 @@
     }
 
     fn send(&mut self, attempt: Attempt) {
-        // What is known of the request may have changed since it arrived, also by its own last attempt.
-        let is_sent_on = self.may_have_run || !self.under_way.is_empty();
+        // The request may have become suspected of crashing targets since it arrived, also by its own last attempt.
+        let is_sent_on = self.may_have_run || !self.in_flight.is_empty();
         if let Err(for_ms) = self.job.entry.permit(self.job, is_sent_on) {
             let end = AttemptEnd::HeldBack { for_ms };
             let outcome = Box::pin(std::future::ready(end));
-            return self.under_way.push(UnderWay { attempt, outcome });
+            return self.in_flight.push(AttemptInFlight { attempt, outcome });
         }
-        self.note(TraceEvent::Sent {
+        self.add_trace(TraceEvent::Sent {
             attempt: attempt.id.0,
             chosen: chosen(&attempt),
         });
@@ -235,17 +240,17 @@
             }
             None => Box::pin(std::future::ready(AttemptEnd::Broken)),
         };
-        self.under_way.push(UnderWay { attempt, outcome });
+        self.in_flight.push(AttemptInFlight { attempt, outcome });
     }
 
     fn cancel(&mut self, id: AttemptId) {
-        self.note(TraceEvent::Cancelled { attempt: id.0 });
-        self.under_way
-            .retain(|under_way| under_way.attempt.id != id);
+        self.add_trace(TraceEvent::Cancelled { attempt: id.0 });
+        self.in_flight
+            .retain(|in_flight| in_flight.attempt.id != id);
         self.job.service.place_freed.notify(1);
     }
 
-    /// Drops answers that the step did not deliver, and with them their places.
+    /// Drops answers that the last step did not deliver, and releases the capacity of their attempts.
     fn drop_answers(&mut self) {
         if !self.answers.is_empty() {
             self.answers.clear();
@@ -253,23 +258,24 @@
         }
     }
 
-    /// Waits for the next thing to happen.
-    async fn next_event(&mut self, step: &Step, mut place: Option<EventListener>) -> Event {
+    /// Waits for the next event: the end of an attempt, freed capacity, the stop of the entry, or the step's timer
+    /// (by default the deadline). If several are ready, the first in this order is returned.
+    async fn next_event(&mut self, step: &Step, mut capacity: Option<EventListener>) -> Event {
         let wake_at = step.wake_at.unwrap_or(self.job.deadline);
         let mut timer = async_io::Timer::at(self.job.entry.clock.instant_of(wake_at));
-        let mut ending = std::pin::pin!(self.job.entry.ending.wait());
-        let ended = poll_fn(|context| {
-            for (index, under_way) in self.under_way.iter_mut().enumerate() {
-                if let Poll::Ready(end) = under_way.outcome.as_mut().poll(context) {
+        let mut stopping = std::pin::pin!(self.job.entry.ending.wait());
+        let event = poll_fn(|context| {
+            for (index, attempt) in self.in_flight.iter_mut().enumerate() {
+                if let Poll::Ready(end) = attempt.outcome.as_mut().poll(context) {
                     return Poll::Ready(Ok((index, end)));
                 }
             }
-            if let Some(place) = &mut place
-                && Pin::new(place).poll(context).is_ready()
+            if let Some(capacity) = &mut capacity
+                && Pin::new(capacity).poll(context).is_ready()
             {
                 return Poll::Ready(Err(Event::CapacityFreed));
             }
-            if ending.as_mut().poll(context).is_ready() {
+            if stopping.as_mut().poll(context).is_ready() {
                 return Poll::Ready(Err(Event::EntryStopping));
             }
             match Pin::new(&mut timer).poll(context) {
@@ -278,45 +284,46 @@
             }
         })
         .await;
-        match ended {
-            Ok((index, end)) => self.ended(index, end),
+        match event {
+            Ok((index, end)) => self.finish_attempt(index, end),
             Err(event) => event,
         }
     }
 
-    fn ended(&mut self, index: usize, end: AttemptEnd) -> Event {
-        let UnderWay { attempt, .. } = self.under_way.swap_remove(index);
+    /// Removes an attempt that has ended, counts and records its end, and returns the event for the request's state.
+    fn finish_attempt(&mut self, index: usize, end: AttemptEnd) -> Event {
+        let AttemptInFlight { attempt, .. } = self.in_flight.swap_remove(index);
         let id = attempt.id;
-        self.note_end(&attempt, &end);
+        self.add_end_trace(&attempt, &end);
         let outcome = match end {
             AttemptEnd::NotSent => {
-                self.free_place(attempt, Count::AttemptNotSent);
+                self.release_capacity(attempt, Count::AttemptNotSent);
                 AttemptOutcome::NotSent
             }
             AttemptEnd::TargetClosed => {
-                self.free_place(attempt, Count::AttemptClosed);
+                self.release_capacity(attempt, Count::AttemptClosed);
                 AttemptOutcome::TargetClosed
             }
             AttemptEnd::Crashed | AttemptEnd::Restarted => {
                 self.may_have_run = true;
                 self.record_crash(&attempt.target);
-                self.free_place(attempt, Count::AttemptCrashed);
+                self.release_capacity(attempt, Count::AttemptCrashed);
                 AttemptOutcome::Broken
             }
             AttemptEnd::Broken | AttemptEnd::Cut => {
                 self.may_have_run = true;
-                self.free_place(attempt, Count::AttemptBroken);
+                self.release_capacity(attempt, Count::AttemptBroken);
                 AttemptOutcome::Broken
             }
             AttemptEnd::HeldBack { for_ms } => {
-                self.free_place(attempt, Count::AttemptHeldBack);
+                self.release_capacity(attempt, Count::AttemptHeldBack);
                 let retry_after_ms = for_ms;
                 AttemptOutcome::HeldBack { retry_after_ms }
             }
             AttemptEnd::OtherTarget => {
-                // Nothing of ours runs at that address any more.
+                // The attempt's target no longer runs at its address.
                 attempt.target.mark_leaving();
-                self.free_place(attempt, Count::AttemptMisdirected);
+                self.release_capacity(attempt, Count::AttemptMisdirected);
                 AttemptOutcome::Shed { report: None }
             }
             AttemptEnd::Answer(answer) => {
@@ -331,7 +338,7 @@
         }
     }
 
-    fn note_end(&mut self, attempt: &Attempt, end: &AttemptEnd) {
+    fn add_end_trace(&mut self, attempt: &Attempt, end: &AttemptEnd) {
         let (outcome, status) = match end {
             AttemptEnd::NotSent => ("not_sent", None),
             AttemptEnd::TargetClosed => ("closed", None),
@@ -354,24 +361,25 @@
         let took = self.job.entry.now().saturating_sub(attempt.started());
         let times = &self.job.entry.attempt_times;
         times.record(&attempt.target.name(), outcome, took.as_ms() as u64);
-        self.note(TraceEvent::Ended {
+        self.add_trace(TraceEvent::Ended {
             attempt: attempt.id.0,
             outcome,
             status,
         });
     }
 
-    /// Takes in that a target has crashed with the request under way.
+    /// Records that a target has crashed with the request in flight.
     fn record_crash(&self, target: &TargetState) {
         self.job.entry.record_crash(self.job, target);
     }
 
-    fn free_place(&self, attempt: Attempt, count: Count) {
+    fn release_capacity(&self, attempt: Attempt, count: Count) {
         drop(attempt);
         self.job.entry.counters.add(count);
         self.job.service.place_freed.notify(1);
     }
 
+    /// Derives the outcome of an attempt from its answer, and updates the request's state by the facts of the answer.
     fn outcome_of(&mut self, answer: &Answer) -> AttemptOutcome {
         let facts = &answer.facts;
         if let Some(left) = facts.attempts_left {
@@ -392,6 +400,7 @@
         }
     }
 
+    /// Builds the caller's answer from the answer of the attempt `id`.
     fn deliver(&mut self, id: AttemptId) -> Response<AnyBody> {
         let position = self.answers.iter().position(|(a, _)| a.id == id);
         let own = require_promise(Promise::WholeOwnAnswer, position.is_some(), || {
@@ -404,29 +413,29 @@
         let (attempt, answer) = self.answers.swap_remove(position);
         self.outcome = Outcome::Answered;
         self.job.entry.counters.add(Count::Answered);
-        self.note(TraceEvent::Delivered {
+        self.add_trace(TraceEvent::Delivered {
             attempt: id.0,
             status: answer.head.status.as_u16(),
         });
         let pool = self.job.service.pools.get(&attempt.target.address());
-        let held = AnswerGuard {
+        let guard = AnswerGuard {
             entry: Arc::clone(&self.job.entry),
             capacity_freed: Arc::clone(&self.job.service.place_freed),
             sender: ReturnSender::new(pool.cloned().unwrap_or_default(), answer.sender),
             attempt: Some(attempt),
-            subject: RecordContext::new(self.job),
-            _hold: std::mem::take(&mut self.hold),
+            record_context: RecordContext::new(self.job),
+            _request_guard: std::mem::take(&mut self.request_guard),
         };
         let mut head = answer.head;
         header::remove_connection_fields(&mut head.headers);
         let dialect = &self.job.entry.dialect;
         dialect.pass_answer(&self.job.headers, &mut head.headers);
         head.version = http::Version::default();
-        Response::from_parts(head, AnswerBody::new(answer.body, held).boxed_unsync())
+        Response::from_parts(head, AnswerBody::new(answer.body, guard).boxed_unsync())
     }
 }
 
-/// What decided the choice of an attempt's target.
+/// Facts that decided the choice of an attempt's target, for the record.
 fn chosen(attempt: &Attempt) -> Chosen {
     let facts = attempt.chosen;
     Chosen {
--- a/crates/pinhaven-entry/src/request/mod.rs
+++ b/crates/pinhaven-entry/src/request/mod.rs
@@ -1,7 +1,7 @@
-//! A request on its way to targets and back.
+//! Execution of a request: attempts at targets, and the answer to the caller.
 //!
-//! A [`Job`](crate::callers::job::Job) comes in; what `pinhaven-decide` says is carried out, and the caller's answer goes
-//! out. Called by `callers` and `once_only`.
+//! Input is a [`Job`](crate::callers::job::Job) from `callers` or `once_only`, output the final answer. This module
+//! carries out the actions that `pinhaven-decide` chooses; it decides nothing itself.
 
 pub(crate) mod answer_body;
 pub(crate) mod attempt;
--- a/crates/pinhaven-entry/src/request/record_context.rs
+++ b/crates/pinhaven-entry/src/request/record_context.rs
@@ -1,4 +1,4 @@
-//! What the record says of a request in each of its lines.
+//! Facts that every record line on a request carries.
 
 use crate::callers::job::Job;
 use crate::entry::Entry;
@@ -6,14 +6,14 @@
 use pinhaven_record::Trace;
 use pinhaven_record::TraceEvent;
 
-/// A request's id, and the facts that each line on it carries.
+/// Id of a request, with the route, service and configuration version that its record lines name.
 pub(crate) struct RecordContext {
     id: String,
     facts: [(&'static str, String); 3],
 }
 
 impl RecordContext {
-    /// Of a request; `None` where there is no record.
+    /// Collects the context of a request; `None` if the entry has no recorder.
     pub(crate) fn new(job: &Job) -> Option<Self> {
         job.entry.recorder.as_ref()?;
         let route = job.routed.config();
@@ -30,12 +30,12 @@
         })
     }
 
-    /// The request's id; empty where its caller gave none.
+    /// Id of the request; empty if its caller gave none.
     pub(crate) fn id(&self) -> &str {
         &self.id
     }
 
-    /// Records what has happened to the request.
+    /// Records the trace of the request.
     pub(crate) fn record_trace(&self, entry: &Entry, trace: Trace, importance: Importance) {
         if let Some(recorder) = &entry.recorder {
             let now_us = entry.now().count();
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Records a failure that came after all else that was recorded.
+    /// Records a failure that occurs after the request's trace has been recorded.
     pub(crate) fn record(&self, entry: &Entry, event: TraceEvent) {
         let mut trace = Trace::default();
         trace.add(entry.now().count(), event);
