--- a/crates/pinhaven-entry/src/callers/address.rs
+++ b/crates/pinhaven-entry/src/callers/address.rs
@@ -6,7 +6,7 @@
 
 use crate::entry::Entry;
 use crate::watch::counters::Count;
-use crate::wire::dialect::AddressQuestion;
+use crate::wire::dialect::AddressQuery;
 use crate::wire::dialect::NamedEntry;
 use crate::wire::dialect::query_value;
 use crate::wire::problem::Problem;
@@ -94,7 +94,7 @@
 
 /// The entries that a caller is steered to, those of its failure domain first, and how long it may keep
 /// the answer, in milliseconds.
-pub(crate) fn entries_named(entry: &Entry, question: &AddressQuestion) -> (Vec<NamedEntry>, u64) {
+pub(crate) fn entries_named(entry: &Entry, question: &AddressQuery) -> (Vec<NamedEntry>, u64) {
     let members = entry.members.lock();
     let (region, domain) = (question.region.as_ref(), question.domain.as_ref());
     let rows = members.named_for(region, domain, fastrand::f32, entry.now());
--- a/crates/pinhaven-entry/src/callers/directory.rs
+++ b/crates/pinhaven-entry/src/callers/directory.rs
@@ -94,7 +94,7 @@
 
 fn answer_addresses(entry: &Entry, request: &Request<Incoming>) -> Response<AnyBody> {
     entry.counters.add(Count::Addresses);
-    let Some(question) = entry.dialect.read_question(request.uri()) else {
+    let Some(question) = entry.dialect.read_address_query(request.uri()) else {
         return with_status(StatusCode::NOT_FOUND, Bytes::new());
     };
     let (entries, keep_ms) = address::entries_named(entry, &question);
--- a/crates/pinhaven-entry/src/lib.rs
+++ b/crates/pinhaven-entry/src/lib.rs
@@ -36,7 +36,7 @@
 pub use watch::status::PromiseStatus;
 pub use watch::status::ServiceStatus;
 pub use watch::status::TargetStatus;
-pub use wire::dialect::AddressQuestion;
+pub use wire::dialect::AddressQuery;
 pub use wire::dialect::AnswerFacts;
 pub use wire::dialect::AttemptFacts;
 pub use wire::dialect::BadField;
--- a/crates/pinhaven-entry/src/once_only/once.rs
+++ b/crates/pinhaven-entry/src/once_only/once.rs
@@ -111,7 +111,7 @@
 
 /// The number of this sending; `None` when the caller gives none.
 fn sending_of(headers: &HeaderMap) -> Option<Sending> {
-    let number = header::number(headers, &header::SENDING).ok()??;
+    let number = header::parse_number(headers, &header::SENDING).ok()??;
     u32::try_from(number).ok().map(Sending)
 }
 
--- a/crates/pinhaven-entry/src/wire/dialect.rs
+++ b/crates/pinhaven-entry/src/wire/dialect.rs
@@ -77,7 +77,7 @@
 
 /// What a caller asks who wants to know which entries to use.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct AddressQuestion {
+pub struct AddressQuery {
     /// The service it wants, where the answer depends on it.
     pub service: Option<ServiceName>,
     /// Where the caller stands.
@@ -153,7 +153,7 @@
     fn probed_incarnation(&self, body: &[u8]) -> Option<TargetIncarnation>;
 
     /// Reads the question which entries to use; `None` when the request asks something else.
-    fn read_question(&self, uri: &Uri) -> Option<AddressQuestion>;
+    fn read_address_query(&self, uri: &Uri) -> Option<AddressQuery>;
 
     /// Writes the answer to that question.
     fn write_entries(&self, entries: &[NamedEntry], keep_ms: u64) -> Vec<u8>;
@@ -179,14 +179,16 @@
     }
 
     fn read_caller(&self, headers: &HeaderMap) -> Result<CallerFacts, BadField> {
-        let deadline_ms = header::number(headers, &header::DEADLINE_MS).map_err(|()| BadField {
-            reason: "bad_deadline",
-            expected: "Pinhaven-Deadline-Ms is a number of milliseconds",
-        })?;
-        let attempts = header::number(headers, &header::ATTEMPTS_LEFT).map_err(|()| BadField {
-            reason: "bad_attempts",
-            expected: "Pinhaven-Attempts-Left is a whole number",
-        })?;
+        let deadline_ms =
+            header::parse_number(headers, &header::DEADLINE_MS).map_err(|()| BadField {
+                reason: "bad_deadline",
+                expected: "Pinhaven-Deadline-Ms is a number of milliseconds",
+            })?;
+        let attempts =
+            header::parse_number(headers, &header::ATTEMPTS_LEFT).map_err(|()| BadField {
+                reason: "bad_attempts",
+                expected: "Pinhaven-Attempts-Left is a whole number",
+            })?;
         Ok(CallerFacts {
             deadline_ms,
             attempts_max: attempts.map(|n| u32::try_from(n.max(1)).unwrap_or(u32::MAX)),
@@ -224,7 +226,7 @@
         headers: &HeaderMap,
         service: &Service,
     ) -> AnswerFacts {
-        let attempts_left = header::number(headers, &header::ATTEMPTS_LEFT)
+        let attempts_left = header::parse_number(headers, &header::ATTEMPTS_LEFT)
             .ok()
             .flatten();
         AnswerFacts {
@@ -268,10 +270,10 @@
         None
     }
 
-    fn read_question(&self, uri: &Uri) -> Option<AddressQuestion> {
+    fn read_address_query(&self, uri: &Uri) -> Option<AddressQuery> {
         (uri.path() == ADDRESS_PATH).then(|| {
             let query = uri.query().unwrap_or_default();
-            AddressQuestion {
+            AddressQuery {
                 service: query_value(query, "service"),
                 domain: query_value(query, "domain"),
                 region: query_value(query, "region"),
@@ -300,7 +302,7 @@
 
 /// When a refusal of the entry tells its caller to come back, in milliseconds.
 fn retry_after_ms(headers: &HeaderMap) -> Option<u64> {
-    header::number(headers, &header::RETRY_AFTER_MS)
+    header::parse_number(headers, &header::RETRY_AFTER_MS)
         .ok()
         .flatten()
 }
--- a/crates/pinhaven-entry/src/wire/header.rs
+++ b/crates/pinhaven-entry/src/wire/header.rs
@@ -51,7 +51,7 @@
 }
 
 /// The value of a field as a number; `Err` when it is there and is none.
-pub(crate) fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, ()> {
+pub(crate) fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, ()> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
