--- a/crates/pinhaven-entry/src/wire/dialect.rs
+++ b/crates/pinhaven-entry/src/wire/dialect.rs
@@ -1,8 +1,8 @@
-//! How requests and answers are spelled on the wire.
+//! Mapping between the facts that an entry works with and their names and forms on the wire.
 //!
-//! The entry works with facts: how long a caller waits, whether a target proved that it did not run a
-//! request. A [`Dialect`] reads these from header fields and writes them there. The entry has one of
-//! its own; a deployment whose callers and targets use other names brings another.
+//! Examples of facts are a caller's deadline and a target's proof that it did not run a request. A [`Dialect`] reads
+//! such facts from header fields and writes them there. [`OwnDialect`] uses the product's own names; a deployment whose
+//! callers and targets use other names implements its own dialect.
 
 use crate::wire::header;
 use crate::wire::load_report;
@@ -26,98 +26,98 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// What a caller says of its request besides the request itself.
+/// Limits that a caller sets for its request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CallerFacts {
-    /// How long it waits, in milliseconds.
+    /// Time that the caller waits for an answer, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// Attempts that may be made in all.
+    /// Maximum number of attempts for the request.
     pub attempts_max: Option<u32>,
 }
 
-/// A field of a request that can't be understood.
+/// A header field of a request that can't be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BadField {
-    /// Name of the problem, for answers and metrics.
+    /// Reason of the refusal, in answers and metrics.
     pub reason: &'static str,
-    /// What should stand there.
+    /// Description of the expected value.
     pub expected: &'static str,
 }
 
-/// What is said to a target along with a request.
+/// Facts sent to a target with a request.
 #[derive(Debug, Clone)]
 pub struct AttemptFacts<'job> {
-    /// Time that is left for the answer, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub left_ms: u64,
-    /// Attempts that services further down may make.
+    /// Maximum number of attempts that downstream services may make.
     pub attempts_left: u32,
-    /// The target that is meant, if its id is known.
+    /// Id of the target that the request is sent to, if known.
     pub target: Option<&'job TargetId>,
-    /// An id of the attempt that no other attempt has.
+    /// Unique id of the attempt.
     pub attempt_id: &'job str,
 }
 
-/// What a target says along with an answer.
+/// Facts that a target sends with an answer.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AnswerFacts {
-    /// It proves that it did not run the request and will not.
+    /// Whether the answer proves that the target did not run the request and will not run it.
     pub is_not_run: bool,
-    /// Another target has its address now.
+    /// Whether another target has the target's address now.
     pub is_other_target: bool,
-    /// The answer carries all the marks that a target's own answer has.
+    /// Whether the answer carries all header fields that a target's own answer has.
     pub is_genuine: bool,
-    /// Callers would take its status for the word that the request did not run, which the target has
-    /// not said.
+    /// Whether callers would conclude from the status that the request did not run, although the answer doesn't prove
+    /// it.
     pub lacks_not_run_proof: bool,
-    /// Its load.
+    /// Load of the target.
     pub report: Option<LoadReport>,
-    /// Added attempts that are left, if it says so.
+    /// Number of added attempts that remain for the request, if the answer states one.
     pub attempts_left: Option<u32>,
 }
 
-/// What a caller asks who wants to know which entries to use.
+/// A caller's query for the entries that it may use.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AddressQuery {
-    /// The service it wants, where the answer depends on it.
+    /// Service that the caller wants to reach, if the answer depends on the service.
     pub service: Option<ServiceName>,
-    /// Where the caller stands.
+    /// Failure domain of the caller.
     pub domain: Option<FailureDomain>,
-    /// The region of that place.
+    /// Region of the caller.
     pub region: Option<Region>,
 }
 
 /// An entry that a caller may use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct NamedEntry {
-    /// Where it takes requests.
+    /// Address at which the entry accepts requests.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Failure domain of the entry.
     pub failure_domain: FailureDomain,
-    /// The home that once-only requests sent to it carry.
+    /// Home to set in once-only requests sent to the entry.
     pub home: String,
 }
 
-/// Header fields, paths and bodies as one kind of deployment spells them.
+/// Header fields, paths and bodies as used by one kind of deployment.
 pub trait Dialect: Send + Sync {
-    /// The id that a caller gave its request, for the record.
+    /// Returns the id that the caller gave its request, for the record.
     fn request_id(&self, headers: &HeaderMap) -> Option<String>;
 
-    /// Reads what a caller says.
+    /// Reads the limits that a caller sets.
     ///
     /// # Errors
     ///
-    /// [`BadField`] when a field is there and can't be understood.
+    /// [`BadField`] if a field is present and can't be parsed.
     fn read_caller(&self, headers: &HeaderMap) -> Result<CallerFacts, BadField>;
 
-    /// Writes what is said to a target into the headers of a caller's request. Returns the id that
-    /// the answer must carry, if it must carry one.
+    /// Writes the facts of an attempt into the headers of a caller's request. Returns the id that the answer must
+    /// carry, if any.
     fn write_attempt(
         &self,
         headers: &mut HeaderMap,
         facts: &AttemptFacts<'_>,
     ) -> Option<HeaderValue>;
 
-    /// Whether an answer belongs to the request with this id.
+    /// Whether an answer belongs to the request with the given id.
     fn is_answer_to(
         &self,
         headers: &HeaderMap,
@@ -125,7 +125,7 @@
         service: &Service,
     ) -> bool;
 
-    /// Reads what a target says.
+    /// Reads the facts that a target sends with an answer.
     fn read_answer(
         &self,
         status: StatusCode,
@@ -133,43 +133,43 @@
         service: &Service,
     ) -> AnswerFacts;
 
-    /// Reads what a target asks for with an answer, whatever else is wrong with that.
+    /// Reads the directives that a target sends with an answer, even if the answer is invalid otherwise.
     fn read_orders(&self, status: StatusCode, headers: &HeaderMap) -> ReceivedOrders;
 
-    /// Prepares a target's answer for the caller whose request had these headers.
+    /// Prepares the headers of a target's answer for the caller whose request had the headers `request`.
     fn pass_answer(&self, request: &HeaderMap, answer: &mut HeaderMap);
 
-    /// Prepares an answer of the entry itself, which says in the product's own fields whether the
-    /// request ran and when to come back.
+    /// Prepares a refusal by the entry itself. The refusal states in the product's own fields whether the request ran
+    /// and when to retry.
     fn pass_refusal(&self, answer: &mut Response<AnyBody>);
 
-    /// Reads a probe's answer; `None` when it holds no report.
+    /// Reads the load report of a probe's answer; `None` if the answer has none.
     fn read_probe(&self, headers: &HeaderMap, body: &[u8]) -> Option<LoadReport>;
 
-    /// The id of the target that answered a probe, if it says so.
+    /// Returns the id of the target that answered a probe, if the answer states one.
     fn probed_target(&self, headers: &HeaderMap) -> Option<TargetId>;
 
-    /// The run of the target that answered a probe, if it tells its start.
+    /// Returns the incarnation of the target that answered a probe, if the answer states the start of its run.
     fn probed_incarnation(&self, body: &[u8]) -> Option<TargetIncarnation>;
 
-    /// Reads the question which entries to use; `None` when the request asks something else.
+    /// Reads a query for entry addresses; `None` if the request is for something else.
     fn read_address_query(&self, uri: &Uri) -> Option<AddressQuery>;
 
-    /// Writes the answer to that question.
+    /// Serializes the answer to a query for entry addresses, which the caller may cache for `keep_ms`.
     fn write_entries(&self, entries: &[NamedEntry], keep_ms: u64) -> Vec<u8>;
 
-    /// The path at which readiness is asked for.
+    /// Path of the readiness check.
     fn ready_path(&self) -> &str;
 }
 
-/// Where the product's own callers ask which entries to use.
+/// Path at which the product's own callers query entry addresses.
 pub(crate) const ADDRESS_PATH: &str = "/.well-known/pinhaven/entries";
 
-/// The product's own dialect.
+/// Dialect with the product's own names.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OwnDialect;
 
-/// Where readiness is asked for.
+/// Path of the readiness check in the product's own dialect.
 const READY_PATH: &str = "/.well-known/pinhaven/ready";
 
 impl Dialect for OwnDialect {
@@ -291,7 +291,7 @@
     }
 }
 
-/// The value of a query parameter, if it is there and can be parsed.
+/// Returns the value of a query parameter, if present and valid.
 pub fn query_value<T: std::str::FromStr>(query: &str, name: &str) -> Option<T> {
     query
         .split('&')
@@ -300,15 +300,15 @@
         .and_then(|(_, value)| value.parse().ok())
 }
 
-/// When a refusal of the entry tells its caller to come back, in milliseconds.
+/// Returns the time after which a refusal by the entry asks its caller to retry, in milliseconds.
 fn retry_after_ms(headers: &HeaderMap) -> Option<u64> {
     header::parse_number(headers, &header::RETRY_AFTER_MS)
         .ok()
         .flatten()
 }
 
-/// Turns the product's own fields of a refusal into standard ones: 503 where the request did not run,
-/// and when to come back in seconds, with fractions.
+/// Replaces the product's own fields of a refusal by standard ones: status 503 for a server error if the request did
+/// not run, and `Retry-After` in seconds, with fractions.
 pub fn use_standard_fields(answer: &mut Response<AnyBody>) {
     let after_ms = retry_after_ms(answer.headers());
     let run = answer.headers_mut().remove(header::RUN);
--- a/crates/pinhaven-entry/src/wire/load_report.rs
+++ b/crates/pinhaven-entry/src/wire/load_report.rs
@@ -1,15 +1,15 @@
-//! Load reports in the published form (ORCA): the header `endpoint-load-metrics: JSON {...}`.
+//! Load reports in the ORCA format: the header `endpoint-load-metrics: JSON {...}`, or the same JSON as a probe's body.
 
 use crate::wire::header;
 use http::HeaderMap;
 use pinhaven_decide::LoadReport;
 use serde::Deserialize;
 
-/// Start of the JSON form of the header.
+/// Prefix of the header's value in JSON format.
 const JSON_FORM: &str = "JSON ";
 
 #[derive(Deserialize)]
-struct Published {
+struct OrcaReport {
     #[serde(default)]
     named_metrics: NamedMetrics,
 }
@@ -22,16 +22,16 @@
     draining: f64,
 }
 
-/// The report on a reply; `None` when there is none that can be read.
+/// Returns the report in the headers of an answer; `None` if there is no valid report.
 pub(crate) fn from_headers(headers: &HeaderMap) -> Option<LoadReport> {
     let text = headers.get(header::LOAD_REPORT)?.to_str().ok()?;
     from_json(text.strip_prefix(JSON_FORM)?.as_bytes())
 }
 
-/// The report in the body of a probe's answer.
+/// Returns the report in the body of a probe's answer; `None` if the body is no valid report.
 pub(crate) fn from_json(bytes: &[u8]) -> Option<LoadReport> {
-    let published: Published = serde_json::from_slice(bytes).ok()?;
-    let metrics = published.named_metrics;
+    let report: OrcaReport = serde_json::from_slice(bytes).ok()?;
+    let metrics = report.named_metrics;
     Some(LoadReport {
         running: metrics.requests_running as u32,
         waiting: metrics.requests_waiting as u32,
--- a/crates/pinhaven-entry/src/wire/mod.rs
+++ b/crates/pinhaven-entry/src/wire/mod.rs
@@ -1,6 +1,6 @@
-//! How requests, answers, refusals and load reports are spelled.
+//! Wire formats of requests, answers, refusals and load reports.
 //!
-//! Nothing here decides: typed values on one side, header fields and bodies on the other.
+//! This module converts between typed values and header fields, paths and bodies. It makes no decisions.
 
 pub(crate) mod dialect;
 pub(crate) mod header;
--- a/crates/pinhaven-entry/src/wire/problem.rs
+++ b/crates/pinhaven-entry/src/wire/problem.rs
@@ -1,6 +1,6 @@
 //! Refusals as problem details (RFC 9457).
 //!
-//! Each says whether the request ran, and each says when to come back.
+//! Each refusal states whether the request ran, and when the caller may retry.
 
 use crate::wire::header;
 use http::HeaderValue;
@@ -12,10 +12,10 @@
 use pinhaven_runtime::AnyBody;
 use pinhaven_runtime::whole_body;
 
-/// When a caller may come back whose request was wrong in itself, in milliseconds.
-const RETRY_AFTER_FAULT_MS: u64 = 1_000;
+/// Retry delay for a caller whose request was invalid, in milliseconds.
+const RETRY_AFTER_INVALID_REQUEST_MS: u64 = 1_000;
 
-/// A final answer that no target gave.
+/// Final answer by the entry itself instead of a target.
 #[derive(Debug, Clone)]
 pub(crate) struct Problem {
     pub(crate) status: StatusCode,
@@ -26,7 +26,7 @@
 }
 
 impl Problem {
-    /// A problem of a request that did not run.
+    /// Creates a problem for a request that did not run.
     pub(crate) fn not_run(
         status: StatusCode,
         reason: &'static str,
@@ -37,11 +37,11 @@
             reason,
             detail: detail.into(),
             run_state: RunState::NotRun,
-            retry_after_ms: RETRY_AFTER_FAULT_MS,
+            retry_after_ms: RETRY_AFTER_INVALID_REQUEST_MS,
         }
     }
 
-    /// A problem of a request of which nobody can tell whether it ran.
+    /// Creates a problem for a request that may or may not have run.
     pub(crate) fn unknown(
         status: StatusCode,
         reason: &'static str,
@@ -63,7 +63,7 @@
         self
     }
 
-    /// The answer to send.
+    /// Builds the HTTP response.
     pub(crate) fn into_response(self) -> Response<AnyBody> {
         let body = serde_json::json!({
             "type": format!("https://pinhaven.example/problems/{}", self.reason),
@@ -91,7 +91,7 @@
 impl From<Refusal> for Problem {
     fn from(refusal: Refusal) -> Self {
         let (status, detail) = describe(refusal.reason);
-        // A bad gateway leaves open whether the request ran; where that is known, say so.
+        // 502 (Bad Gateway) leaves open whether the request ran, so that 503 is used if it is known not to have run.
         let is_not_run = refusal.run_state == RunState::NotRun;
         let status = if is_not_run && status == StatusCode::BAD_GATEWAY {
             StatusCode::SERVICE_UNAVAILABLE
--- a/crates/pinhaven-entry/src/wire/rest.rs
+++ b/crates/pinhaven-entry/src/wire/rest.rs
@@ -1,4 +1,4 @@
-//! What a target asks for, as its answers spell it.
+//! Directives of a target, as read from its answers: a rest, and that the target leaves.
 
 use http::HeaderMap;
 use http::HeaderValue;
@@ -14,26 +14,26 @@
 /// Microseconds in a second.
 const SECOND_US: f64 = 1_000_000.0;
 
-/// The rest that an answer asks for.
+/// Rest that an answer asks for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReceivedRest {
-    /// How long; the longest where it says several.
+    /// Length of the rest; the longest if the answer states several.
     pub duration: Option<Microseconds>,
-    /// Whether a field could not be read.
+    /// Whether a field is invalid.
     pub has_bad_field: bool,
 }
 
-/// What an answer asks for, and whether all of it could be read.
+/// Directives of an answer, and whether all of them are valid.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReceivedOrders {
-    /// What could be read.
+    /// Directives that are valid.
     pub orders: AnswerOrders,
-    /// Whether a rest was asked for in a way that can't be read.
+    /// Whether the answer asks for a rest by an invalid field.
     pub has_bad_rest: bool,
 }
 
 impl ReceivedOrders {
-    /// Of a target that leaves or does not, and asks for a rest.
+    /// Creates the directives of a target. `leaves` says whether the target leaves.
     pub fn new(leaves: bool, rest: ReceivedRest) -> Self {
         Self {
             orders: AnswerOrders {
@@ -45,24 +45,25 @@
     }
 }
 
-/// Reads the rest that an answer asks for: `Retry-After` (RFC 9110, 10.2.3) on a 503, in seconds, also with a fraction, or
-/// as a date, which counts from the answer's own `Date`. On other answers the field speaks of the request alone.
+/// Reads the rest that an answer asks for: `Retry-After` (RFC 9110, 10.2.3) on a 503, either in seconds, optionally
+/// with a fraction, or as a date, which is relative to the answer's own `Date`. On any other status the field concerns
+/// only the request and asks for no rest.
 pub fn read_rest(status: StatusCode, headers: &HeaderMap) -> ReceivedRest {
     if status != StatusCode::SERVICE_UNAVAILABLE {
         return ReceivedRest::default();
     }
-    let dated = headers.get(DATE).and_then(date);
+    let answer_date = headers.get(DATE).and_then(parse_date);
     let mut rest = ReceivedRest::default();
     for value in headers.get_all(RETRY_AFTER) {
-        match seconds(value).or_else(|| until(value, dated?)) {
-            Some(time) => rest.duration = rest.duration.max(Some(time)),
+        match parse_seconds(value).or_else(|| parse_date_offset(value, answer_date?)) {
+            Some(duration) => rest.duration = rest.duration.max(Some(duration)),
             None => rest.has_bad_field = true,
         }
     }
     rest
 }
 
-fn seconds(value: &HeaderValue) -> Option<Microseconds> {
+fn parse_seconds(value: &HeaderValue) -> Option<Microseconds> {
     let text = value.to_str().ok()?.trim();
     let is_number = text
         .bytes()
@@ -71,12 +72,12 @@
     Some(Microseconds::new((seconds * SECOND_US) as u64))
 }
 
-fn until(value: &HeaderValue, dated: SystemTime) -> Option<Microseconds> {
-    let rest = date(value)?.duration_since(dated);
+fn parse_date_offset(value: &HeaderValue, answer_date: SystemTime) -> Option<Microseconds> {
+    let rest = parse_date(value)?.duration_since(answer_date);
     let rest = rest.unwrap_or(Duration::ZERO);
     Some(Microseconds::new(rest.as_micros() as u64))
 }
 
-fn date(value: &HeaderValue) -> Option<SystemTime> {
+fn parse_date(value: &HeaderValue) -> Option<SystemTime> {
     parse_http_date(value.to_str().ok()?).ok()
 }
