--- a/crates/pinhaven-entry/tests/rest.rs
+++ b/crates/pinhaven-entry/tests/rest.rs
@@ -1,4 +1,8 @@
-//! How long a target asks to be let rest, as its answers spell it.
+//! Parsing of the rest that a target asks for by `Retry-After`.
+//!
+//! Guards against a rest of the wrong length: from a fraction of a second or a date that is misread, from an invalid
+//! field that is taken for a rest or hides a valid field, or from a `Retry-After` on a status where the field concerns
+//! only the request.
 
 use http::HeaderMap;
 use http::HeaderValue;
@@ -21,7 +25,7 @@
     headers
 }
 
-fn read(values: &[&[u8]]) -> ReceivedRest {
+fn read_busy(values: &[&[u8]]) -> ReceivedRest {
     read_rest(BUSY, &with_fields(values))
 }
 
@@ -38,7 +42,7 @@
         ("0", 0),
         (" 7 ", 7_000),
     ] {
-        let rest = read(&[text.as_bytes()]);
+        let rest = read_busy(&[text.as_bytes()]);
         assert_eq!(
             (rest.duration, rest.has_bad_field),
             (ms(rest_ms), false),
@@ -52,18 +56,22 @@
     let mut headers = with_fields(&[TEN_SECONDS_LATER.as_bytes()]);
     assert!(
         read_rest(BUSY, &headers).has_bad_field,
-        "nobody knows what time it is there"
+        "the clock of the target is unknown without a Date"
     );
     headers.insert(DATE, HeaderValue::from_static(NOON));
     assert_eq!(read_rest(BUSY, &headers).duration, ms(10_000));
     headers.insert(RETRY_AFTER, HeaderValue::from_static(NOON));
     headers.insert(DATE, HeaderValue::from_static(TEN_SECONDS_LATER));
-    assert_eq!(read_rest(BUSY, &headers).duration, ms(0), "it is over");
+    assert_eq!(
+        read_rest(BUSY, &headers).duration,
+        ms(0),
+        "the rest is over"
+    );
 }
 
 #[test]
-fn what_is_no_time_is_left_out_and_said() {
-    let nonsense: [&[u8]; 9] = [
+fn an_invalid_duration_is_ignored_and_reported() {
+    let invalid: [&[u8]; 9] = [
         b"",
         b"-3",
         b"+3",
@@ -74,8 +82,8 @@
         b"1.2.3",
         b"\xff\xfe",
     ];
-    for value in nonsense {
-        let rest = read(&[value]);
+    for value in invalid {
+        let rest = read_busy(&[value]);
         assert_eq!(
             (rest.duration, rest.has_bad_field),
             (None, true),
@@ -86,14 +94,14 @@
 
 #[test]
 fn the_longest_of_several_counts_and_a_huge_one_is_no_error() {
-    let rest = read(&[b"1", b"soon", b"4", b"2"]);
+    let rest = read_busy(&[b"1", b"soon", b"4", b"2"]);
     assert_eq!((rest.duration, rest.has_bad_field), (ms(4_000), true));
     let huge = "9".repeat(400);
-    assert!(read(&[huge.as_bytes()]).duration > ms(1_000_000_000));
+    assert!(read_busy(&[huge.as_bytes()]).duration > ms(1_000_000_000));
 }
 
 #[test]
-fn on_any_other_status_the_field_is_not_the_targets_wish() {
+fn on_any_other_status_the_field_asks_for_no_rest() {
     let headers = with_fields(&[b"3"]);
     for status in [200, 202, 301, 429, 500, 502] {
         let status = StatusCode::from_u16(status).unwrap();
