--- a/crates/pinhaven-entry/src/request/attempt.rs
+++ b/crates/pinhaven-entry/src/request/attempt.rs
@@ -50,14 +50,14 @@
         /// Time until the request may be retried, in milliseconds.
         for_ms: u64,
     },
-    /// Another target has this address now and did not run the request.
+    /// Another target has the target's address now and did not run the request.
     OtherTarget,
     /// Sending the request or receiving its answer failed, or the answer was rejected. The target may have run the
     /// request.
     Broken,
     /// The target has restarted and lost the request, which its earlier run may have executed.
     Restarted,
-    /// The answer's body was truncated.
+    /// The answer's body was truncated before any part of the answer was forwarded.
     Cut,
     /// The connection or the answer broke, and the target's address refuses connections since.
     Crashed,
@@ -191,7 +191,7 @@
 }
 
 /// Reads the head of an answer, and accepts the answer only if it belongs to the request, is genuine, and would show
-/// a truncation. Reports and directives of the target are applied even if the answer is rejected.
+/// a truncation. Directives are applied even if the answer is rejected, unless the answer came from another target.
 fn check_answer(
     entry: &Entry,
     service: &ServiceEntry,
@@ -224,7 +224,7 @@
     }
     if status.is_success() && !facts.is_genuine {
         entry.counters.add(Count::AttemptForged);
-        log::warn!(target: "proxy", "Dropped a successful answer that lacks the marks of a target's answer.");
+        log::warn!(target: "proxy", "Dropped a successful answer without the header fields of a target.");
         return Err(AttemptEnd::Broken);
     }
     if !service.config.unbounded_answers && !is_bounded(headers, response.body()) {
