--- a/crates/pinhaven-entry/src/request/attempt.rs
+++ b/crates/pinhaven-entry/src/request/attempt.rs
@@ -91,12 +91,12 @@
         let host = HeaderValue::from_str(authority.as_str()).ok()?;
         headers.insert(http::header::HOST, host);
     }
-    let left = job.deadline.saturating_sub(job.entry.now());
+    let time_left = job.deadline.saturating_sub(job.entry.now());
     let number = job.entry.request_number();
     let incarnation = job.entry.incarnation.to_string();
     let attempt_id = format!("{}-{number}-{}", &incarnation[..12], attempt.id.0);
     let facts = AttemptFacts {
-        left_ms: left.as_ms() as u64,
+        left_ms: time_left.as_ms() as u64,
         attempts_left,
         target: attempt.target.id(),
         attempt_id: &attempt_id,
@@ -147,12 +147,12 @@
         idle_max,
     } = prepared;
     for _ in 0..STALE_CONNECTIONS_MAX {
-        let began = entry.now();
+        let connect_started_at = entry.now();
         let Ok(connected) = pool.connect(address, idle_max).await else {
             return AttemptEnd::NotSent;
         };
         if connected.is_new {
-            target.record_connection(began);
+            target.record_connection(connect_started_at);
             entry.counters.add(Count::Connections);
         }
         if entry.has_restarted(target) {
--- a/crates/pinhaven-entry/src/request/dispatch.rs
+++ b/crates/pinhaven-entry/src/request/dispatch.rs
@@ -70,7 +70,7 @@
         in_flight: Vec::new(),
         answers: Vec::new(),
         request_guard,
-        began: job.entry.now(),
+        started_at: job.entry.now(),
         may_have_run: false,
         outcome: Outcome::CallerLeft,
         trace: Trace::default(),
@@ -93,7 +93,7 @@
     /// Answers received and not yet delivered; their attempts still hold capacity.
     answers: Vec<(Attempt, Answer)>,
     request_guard: CallerHold,
-    began: Microseconds,
+    started_at: Microseconds,
     /// Whether a target may have run the request in an attempt that has ended.
     may_have_run: bool,
     outcome: Outcome,
@@ -168,7 +168,7 @@
             status: problem.status.as_u16(),
             retry_after_ms: refusal.retry_after_ms,
             waiting: self.job.service.state.waiting(),
-            held_ms: self.job.entry.now().saturating_sub(self.began).as_ms(),
+            held_ms: self.job.entry.now().saturating_sub(self.started_at).as_ms(),
             targets: Some(self.target_counts()),
         });
         problem.into_response()
@@ -201,17 +201,20 @@
         };
         let trace = std::mem::take(&mut self.trace);
         let aim_us = self.job.routed.config().map(|route| route.aim_ms * 1_000);
-        let took = entry.now().saturating_sub(self.began).plus(self.job.waited);
-        let importance = trace.importance(took.count(), aim_us);
+        let elapsed = entry
+            .now()
+            .saturating_sub(self.started_at)
+            .plus(self.job.waited);
+        let importance = trace.importance(elapsed.count(), aim_us);
         context.record_trace(entry, trace, importance);
     }
 
     fn record_latency(&self) {
         let route = self.job.routed.config().map(|route| route.name.as_str());
-        let took = self.job.entry.now().saturating_sub(self.began);
+        let elapsed = self.job.entry.now().saturating_sub(self.started_at);
         let times = &self.job.entry.request_times;
         let outcome = self.outcome.name();
-        times.record(route.unwrap_or_default(), outcome, took.as_ms() as u64);
+        times.record(route.unwrap_or_default(), outcome, elapsed.as_ms() as u64);
     }
 
     fn send(&mut self, attempt: Attempt) {
@@ -358,9 +361,9 @@
                 (outcome, Some(status.as_u16()))
             }
         };
-        let took = self.job.entry.now().saturating_sub(attempt.started());
+        let elapsed = self.job.entry.now().saturating_sub(attempt.started());
         let times = &self.job.entry.attempt_times;
-        times.record(&attempt.target.name(), outcome, took.as_ms() as u64);
+        times.record(&attempt.target.name(), outcome, elapsed.as_ms() as u64);
         self.add_trace(TraceEvent::Ended {
             attempt: attempt.id.0,
             outcome,
@@ -403,10 +406,10 @@
     /// Builds the caller's answer from the answer of the attempt `id`.
     fn deliver(&mut self, id: AttemptId) -> Response<AnyBody> {
         let position = self.answers.iter().position(|(a, _)| a.id == id);
-        let own = require_promise(Promise::WholeOwnAnswer, position.is_some(), || {
+        let has_answer = require_promise(Promise::WholeOwnAnswer, position.is_some(), || {
             format!("attempt {} has no answer", id.0)
         });
-        let Some(position) = position.filter(|_| own) else {
+        let Some(position) = position.filter(|_| has_answer) else {
             return Problem::unknown(StatusCode::BAD_GATEWAY, "broken", "the answer was lost")
                 .into_response();
         };
