--- a/crates/pinhaven-command/src/entry.rs
+++ b/crates/pinhaven-command/src/entry.rs
@@ -28,7 +28,7 @@
     };
     let environment = environment.with_recorder(log.recorder(settings.instance_id.as_str()));
     let file = arguments.settings.clone();
-    let environment = environment.with_reread(Arc::new(move || {
+    let environment = environment.with_settings_reader(Arc::new(move || {
         read(&file).map_err(|faults| {
             let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
             faults.join("; ")
--- a/crates/pinhaven-entry/src/callers/proxy.rs
+++ b/crates/pinhaven-entry/src/callers/proxy.rs
@@ -50,7 +50,7 @@
     if request.uri().path() == dialect::ADDRESS_PATH {
         return address::answer(&entry, &request);
     }
-    let in_flight = entry.enter();
+    let in_flight = entry.begin_request();
     entry.counters.add(Count::Requests);
     let id = entry
         .recorder
--- a/crates/pinhaven-entry/src/crashes/news.rs
+++ b/crates/pinhaven-entry/src/crashes/news.rs
@@ -49,7 +49,7 @@
                 continue;
             }
             sleep_ms(TELL_PAUSE_MS).await;
-            self.news.notify(usize::MAX);
+            self.urgent_update.notify(usize::MAX);
         }
     }
 
--- a/crates/pinhaven-entry/src/entry.rs
+++ b/crates/pinhaven-entry/src/entry.rs
@@ -69,11 +69,11 @@
     /// Where decisions are recorded; nowhere without it.
     pub recorder: Option<Recorder>,
     /// Reads the settings again when they are said to have changed.
-    pub reread: Option<Reread>,
+    pub settings_reader: Option<SettingsReader>,
 }
 
 /// Reads the settings again; the error says what is wrong with them.
-pub type Reread = Arc<dyn Fn() -> Result<Settings, String> + Send + Sync>;
+pub type SettingsReader = Arc<dyn Fn() -> Result<Settings, String> + Send + Sync>;
 
 impl EntryEnvironment {
     /// The same with a recorder.
@@ -83,8 +83,8 @@
     }
 
     /// The same with a way to read the settings again.
-    pub fn with_reread(mut self, reread: Reread) -> Self {
-        self.reread = Some(reread);
+    pub fn with_settings_reader(mut self, settings_reader: SettingsReader) -> Self {
+        self.settings_reader = Some(settings_reader);
         self
     }
 }
@@ -95,7 +95,7 @@
             dialect: Arc::new(crate::wire::dialect::OwnDialect),
             discovery: None,
             recorder: None,
-            reread: None,
+            settings_reader: None,
         }
     }
 }
@@ -106,7 +106,7 @@
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) discovery: Option<Arc<dyn Discovery>>,
     pub(crate) recorder: Option<Recorder>,
-    pub(crate) reread: Option<Reread>,
+    pub(crate) settings_reader: Option<SettingsReader>,
     /// Peers to ask while none is known; they may change while the entry runs.
     pub(crate) peer_seeds: ArcSwap<Vec<SocketAddr>>,
     pub(crate) targets: Mutex<KnownTargets>,
@@ -125,17 +125,17 @@
     pub(crate) recent_deltas: Mutex<RecentDeltas>,
     /// Packages that peers are taking.
     pub(crate) packages: Mutex<Packages>,
-    pub(crate) giving: Mutex<GivingBudget>,
-    pub(crate) adopting: Mutex<()>,
+    pub(crate) transfer_budget: Mutex<GivingBudget>,
+    pub(crate) adopt_lock: Mutex<()>,
     pub(crate) is_fetching: AtomicBool,
     pub(crate) is_fetching_list: AtomicBool,
     pub(crate) store_answers: AtomicBool,
     /// Notified when the call that waits for a new configuration may never hear anything.
-    pub(crate) follow_anew: event_listener::Event,
+    pub(crate) restart_following: event_listener::Event,
     /// What the store has brought, against what peers have.
     pub(crate) store_lag: Mutex<StoreLag>,
     /// Age of this process from which it may ask the store.
-    pub(crate) asks_store_from: Microseconds,
+    pub(crate) store_access_after: Microseconds,
     /// How long callers' connections may be idle, in milliseconds.
     pub(crate) caller_idle_ms: Arc<AtomicU64>,
     pub(crate) ledger: Mutex<Ledger>,
@@ -143,15 +143,15 @@
     pub(crate) seats: Mutex<SeatKeeper>,
     pub(crate) leaving: Mutex<LeavingNews>,
     /// Targets that told this entry themselves that they leave, for the others.
-    pub(crate) heard_leaves: Mutex<HeardLeaves>,
+    pub(crate) reported_leaves: Mutex<HeardLeaves>,
     pub(crate) unknown_members: Mutex<BTreeSet<Incarnation>>,
-    pub(crate) news: event_listener::Event,
+    pub(crate) urgent_update: event_listener::Event,
     /// Whether this entry has known all that it needs to serve.
     pub(crate) is_ready: AtomicBool,
     /// Notified when it does.
     pub(crate) became_ready: event_listener::Event,
     /// Set and notified when requests under way must have their final answers.
-    pub(crate) ending: Ending,
+    pub(crate) stop_signal: StopSignal,
     pub(crate) table: HttpTableService,
     pub(crate) objects: HttpObjectStore,
     pub(crate) peers: PeerClients,
@@ -199,7 +199,7 @@
             dialect: environment.dialect,
             discovery: environment.discovery,
             recorder: environment.recorder,
-            reread: environment.reread,
+            settings_reader: environment.settings_reader,
             peer_seeds: ArcSwap::from_pointee(settings.peer_seeds.clone()),
             targets: Mutex::new(KnownTargets::new()),
             restarts: Restarts::default(),
@@ -213,25 +213,25 @@
             version_fetch: Mutex::default(),
             recent_deltas: Mutex::new(RecentDeltas::default()),
             packages: Mutex::default(),
-            giving: Mutex::new(GivingBudget::new(settings.resources.link_mbps)),
-            adopting: Mutex::new(()),
+            transfer_budget: Mutex::new(GivingBudget::new(settings.resources.link_mbps)),
+            adopt_lock: Mutex::new(()),
             is_fetching: AtomicBool::new(false),
             is_fetching_list: AtomicBool::new(false),
             store_answers: AtomicBool::new(true),
-            follow_anew: event_listener::Event::new(),
+            restart_following: event_listener::Event::new(),
             store_lag: Mutex::default(),
-            asks_store_from: store_pace::asks_store_from(),
+            store_access_after: store_pace::asks_store_from(),
             caller_idle_ms,
             ledger: Mutex::new(Ledger::new(limits)),
             members: Mutex::new(Membership::new(row, silent_after)),
             seats: Mutex::new(SeatKeeper::new(incarnation, 0)),
             leaving: Mutex::new(LeavingNews::default()),
-            heard_leaves: Mutex::default(),
+            reported_leaves: Mutex::default(),
             unknown_members: Mutex::new(BTreeSet::new()),
-            news: event_listener::Event::new(),
+            urgent_update: event_listener::Event::new(),
             is_ready: AtomicBool::new(false),
             became_ready: event_listener::Event::new(),
-            ending: Ending::default(),
+            stop_signal: StopSignal::default(),
             table: HttpTableService::new(settings.table_address, timeout_ms),
             objects: HttpObjectStore::new(settings.object_address, timeout_ms),
             peers: PeerClients::new(),
@@ -282,7 +282,7 @@
     }
 
     /// Share of the requests that the entry can hold that are under way.
-    pub(crate) fn use_share(&self) -> f32 {
+    pub(crate) fn utilization(&self) -> f32 {
         self.in_flight() as f32 / self.settings.requests_most as f32
     }
 
@@ -292,7 +292,7 @@
     }
 
     /// Counts a request in until the guard is dropped.
-    pub(crate) fn enter(self: &Arc<Self>) -> InFlight {
+    pub(crate) fn begin_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight(Arc::clone(self))
     }
@@ -323,22 +323,22 @@
 
 /// The word that this entry ends.
 #[derive(Default)]
-pub(crate) struct Ending {
-    has_come: AtomicBool,
+pub(crate) struct StopSignal {
+    is_set: AtomicBool,
     event: event_listener::Event,
 }
 
-impl Ending {
+impl StopSignal {
     /// Gives the word.
-    pub(crate) fn announce(&self) {
-        self.has_come.store(true, Ordering::SeqCst);
+    pub(crate) fn trigger(&self) {
+        self.is_set.store(true, Ordering::SeqCst);
         self.event.notify(usize::MAX);
     }
 
     /// Comes once the word was given.
     pub(crate) async fn wait(&self) {
         let listener = self.event.listen();
-        if !self.has_come.load(Ordering::SeqCst) {
+        if !self.is_set.load(Ordering::SeqCst) {
             listener.await;
         }
     }
--- a/crates/pinhaven-entry/src/lib.rs
+++ b/crates/pinhaven-entry/src/lib.rs
@@ -27,7 +27,7 @@
 mod wire;
 
 pub use entry::EntryEnvironment;
-pub use entry::Reread;
+pub use entry::SettingsReader;
 pub use error::EntryError;
 pub use error::EntryStep;
 pub use start::run_entry;
--- a/crates/pinhaven-entry/src/once_only/relayed.rs
+++ b/crates/pinhaven-entry/src/once_only/relayed.rs
@@ -34,7 +34,7 @@
         Err(problem) => problem.into_response(),
         Ok(relayed) => {
             let hold = CallerHold {
-                _in_flight: Some(entry.enter()),
+                _in_flight: Some(entry.begin_request()),
                 _memory: None,
             };
             let Relayed {
--- a/crates/pinhaven-entry/src/peers/gossip.rs
+++ b/crates/pinhaven-entry/src/peers/gossip.rs
@@ -71,7 +71,7 @@
             let (first, rest) = peers.split_at(peers.len().min(1));
             self.tell(&rest[..rest.len().min(fan_out - 1)]);
             // Listening begins before the exchange, so that what it brings is not missed.
-            let news = self.news.listen();
+            let news = self.urgent_update.listen();
             if let Some(peer) = first.first() {
                 self.exchange_with(*peer).await;
             }
--- a/crates/pinhaven-entry/src/peers/news.rs
+++ b/crates/pinhaven-entry/src/peers/news.rs
@@ -131,7 +131,7 @@
         // Others should hear of this entry at once.
         self.tell_round(&mut sender, &socket, true).await;
         loop {
-            let news = self.news.listen();
+            let news = self.urgent_update.listen();
             let is_urgent = within(self.round(&sender), news).await.is_some();
             self.tell_round(&mut sender, &socket, is_urgent).await;
         }
--- a/crates/pinhaven-entry/src/request/dispatch.rs
+++ b/crates/pinhaven-entry/src/request/dispatch.rs
@@ -53,7 +53,7 @@
         attempts_max: job
             .attempts_most
             .unwrap_or(RequestFacts::new(true, job.deadline).attempts_max),
-        entry_utilization: job.entry.use_share(),
+        entry_utilization: job.entry.utilization(),
         priority: job.routed.config().map(|route| route.priority),
         prior_wait: job.waited,
     };
@@ -257,7 +257,7 @@
     async fn next_event(&mut self, step: &Step, mut place: Option<EventListener>) -> Event {
         let wake_at = step.wake_at.unwrap_or(self.job.deadline);
         let mut timer = async_io::Timer::at(self.job.entry.clock.instant_of(wake_at));
-        let mut ending = std::pin::pin!(self.job.entry.ending.wait());
+        let mut ending = std::pin::pin!(self.job.entry.stop_signal.wait());
         let ended = poll_fn(|context| {
             for (index, under_way) in self.under_way.iter_mut().enumerate() {
                 if let Poll::Ready(end) = under_way.outcome.as_mut().poll(context) {
--- a/crates/pinhaven-entry/src/stop.rs
+++ b/crates/pinhaven-entry/src/stop.rs
@@ -71,7 +71,7 @@
     entry.record_event("entry", "stopping");
     log::info!(target: "stop", "Stopping; callers are told to use other entries.");
     entry.members.lock().advance(MemberState::Stopping);
-    entry.news.notify(usize::MAX);
+    entry.urgent_update.notify(usize::MAX);
     let plan = StopPlan::new(entry);
     let writer = Arc::clone(entry);
     let row_written = entry
@@ -85,7 +85,7 @@
     let is_finished = wait_until_idle(entry, &servers.callers, wait_ms).await;
     if !is_finished {
         log::warn!(target: "stop", "Giving up {} requests in flight.", entry.in_flight());
-        entry.ending.announce();
+        entry.stop_signal.trigger();
         wait_until_idle(entry, &servers.callers, FINAL_ANSWERS_MS).await;
     }
     // Answers to relayed requests may still be on their way to other entries.
--- a/crates/pinhaven-entry/src/targets/leaving.rs
+++ b/crates/pinhaven-entry/src/targets/leaving.rs
@@ -35,7 +35,7 @@
             }
         }
         if is_news {
-            self.news.notify(usize::MAX);
+            self.urgent_update.notify(usize::MAX);
         }
     }
 }
--- a/crates/pinhaven-entry/src/targets/listed_targets.rs
+++ b/crates/pinhaven-entry/src/targets/listed_targets.rs
@@ -119,7 +119,7 @@
         );
         self.take_changed_targets();
         self.restarts.announce();
-        self.news.notify(usize::MAX);
+        self.urgent_update.notify(usize::MAX);
     }
 
     /// Takes in which run of a target has answered.
--- a/crates/pinhaven-entry/src/targets/orders.rs
+++ b/crates/pinhaven-entry/src/targets/orders.rs
@@ -77,7 +77,7 @@
 
     /// Runs of targets that told this entry that they leave, for the others.
     pub(crate) fn leaves_to_tell(&self) -> Vec<u32> {
-        let mut heard = self.heard_leaves.lock();
+        let mut heard = self.reported_leaves.lock();
         heard.forget(self.now());
         heard.keys()
     }
@@ -85,9 +85,9 @@
     /// Lets the others hear at once that a target leaves. One without an id is told by its address.
     fn tell_leave(&self, target: &TargetState) {
         if let Some(key) = target.key() {
-            self.heard_leaves.lock().hear(key, self.now());
+            self.reported_leaves.lock().hear(key, self.now());
         }
-        self.news.notify(usize::MAX);
+        self.urgent_update.notify(usize::MAX);
     }
 
     /// The orders that can be read, with no rest longer than a target may ask for.
--- a/crates/pinhaven-entry/src/versions/bundles.rs
+++ b/crates/pinhaven-entry/src/versions/bundles.rs
@@ -120,12 +120,12 @@
     ) -> bool {
         if self.discovery.is_some() {
             // A configuration without targets is small, and a thread for it would cost memory.
-            let _turn = self.adopting.lock();
+            let _turn = self.adopt_lock.lock();
             return work(self);
         }
         let entry = Arc::clone(self);
         blocking::unblock(move || {
-            let _turn = entry.adopting.lock();
+            let _turn = entry.adopt_lock.lock();
             work(&entry)
         })
         .await
@@ -254,7 +254,7 @@
         self.become_ready();
         let epoch = self.ledger.lock().epoch().0;
         self.members.lock().beat(number, epoch);
-        self.news.notify(usize::MAX);
+        self.urgent_update.notify(usize::MAX);
         true
     }
 
@@ -271,7 +271,7 @@
     /// Brings the snapshot up to date with the list of targets.
     pub(crate) fn take_changed_targets(&self) {
         // A version that is being taken meanwhile may have looked at the list before it changed.
-        let _turn = self.adopting.lock();
+        let _turn = self.adopt_lock.lock();
         let previous = self.snapshot.load_full();
         if let Some(body) = previous.body() {
             let next = self.snapshot_of(Arc::clone(body), &previous);
--- a/crates/pinhaven-entry/src/versions/discovered.rs
+++ b/crates/pinhaven-entry/src/versions/discovered.rs
@@ -61,7 +61,7 @@
                 sleep_ms(DELEGATE_LOOK_MS).await;
                 continue;
             }
-            let anew = self.follow_anew.listen();
+            let anew = self.restart_following.listen();
             let next = async { Some(store.next_configuration(position).await) };
             let outdated = async {
                 anew.await;
@@ -132,7 +132,7 @@
     pub(crate) fn speaks_with_store(&self, has: bool) -> bool {
         let now = self.now();
         let age = self.clock.age();
-        if age < self.asks_store_from {
+        if age < self.store_access_after {
             return false;
         }
         let members = self.members.lock();
@@ -175,7 +175,7 @@
         // An answer that comes slowly over a small link would begin anew.
         if self.store_lag.lock().lacks(version) && !is_coming {
             log::info!(target: "bundle", "The store has not brought version {version}; it is asked anew.");
-            self.follow_anew.notify(usize::MAX);
+            self.restart_following.notify(usize::MAX);
         }
     }
 }
--- a/crates/pinhaven-entry/src/versions/give.rs
+++ b/crates/pinhaven-entry/src/versions/give.rs
@@ -96,7 +96,7 @@
         let offset = if has_begun { request.offset } else { 0 };
         let all = package.bytes();
         if offset == 0
-            && let Err(away) = self.giving.lock().begin(all.len(), self.now())
+            && let Err(away) = self.transfer_budget.lock().begin(all.len(), self.now())
         {
             return FetchBundleResponse {
                 busy_ms: away.as_ms().ceil() as u32,
--- a/crates/pinhaven-entry/src/versions/reload.rs
+++ b/crates/pinhaven-entry/src/versions/reload.rs
@@ -7,10 +7,10 @@
     /// Reads the settings again and takes in what can change while the entry runs: the peers to ask
     /// while none is known. The rest is said to need a restart. Faulty settings change nothing.
     pub(crate) fn reload(&self) {
-        let Some(reread) = &self.reread else {
+        let Some(settings_reader) = &self.settings_reader else {
             return;
         };
-        let settings = match reread() {
+        let settings = match settings_reader() {
             Ok(settings) => settings,
             Err(faults) => {
                 log::error!(target: "entry", "The changed settings are not taken: {faults}.");
--- a/crates/pinhaven-entry/src/watch/beliefs.rs
+++ b/crates/pinhaven-entry/src/watch/beliefs.rs
@@ -102,7 +102,7 @@
             self.record_event("store", if answers { "regained" } else { "lost" });
             if answers {
                 // A call that began before the outage is answered by nobody.
-                self.follow_anew.notify(usize::MAX);
+                self.restart_following.notify(usize::MAX);
             }
         }
     }
