--- a/crates/pinhaven-entry/src/callers/proxy.rs
+++ b/crates/pinhaven-entry/src/callers/proxy.rs
@@ -116,7 +116,7 @@
     entry: &Arc<Entry>,
     request: Request<Incoming>,
 ) -> Result<(Job, Option<BodyMemory>), Problem> {
-    entry.until_ready().await;
+    entry.wait_until_ready().await;
     let (head, body) = request.into_parts();
     let caller = head.extensions.get::<CallerAddress>().copied();
     let (service, routed) = find_route(entry, &head)?;
--- a/crates/pinhaven-entry/src/entry.rs
+++ b/crates/pinhaven-entry/src/entry.rs
@@ -220,7 +220,7 @@
             store_answers: AtomicBool::new(true),
             restart_following: event_listener::Event::new(),
             store_lag: Mutex::default(),
-            store_access_after: store_pace::asks_store_from(),
+            store_access_after: store_pace::store_access_after(),
             caller_idle_ms,
             ledger: Mutex::new(Ledger::new(limits)),
             members: Mutex::new(Membership::new(row, silent_after)),
--- a/crates/pinhaven-entry/src/error.rs
+++ b/crates/pinhaven-entry/src/error.rs
@@ -11,7 +11,7 @@
     /// listening for peers
     ListenForPeers,
     /// listening for news of peers
-    ListenForNews,
+    ListenForDatagrams,
     /// listening for questions after readiness
     ListenForReadiness,
     /// listening for questions after addresses
@@ -44,7 +44,9 @@
         match step {
             EntryStep::ListenForCallers => "set caller_address to a free address of this instance",
             EntryStep::ListenForPeers => "set peer_address to a free address of this instance",
-            EntryStep::ListenForNews => "set peer_address to an address that is free for datagrams",
+            EntryStep::ListenForDatagrams => {
+                "set peer_address to an address that is free for datagrams"
+            }
             EntryStep::ListenForReadiness => "set discovery.ready_address to a free address",
             EntryStep::ListenForAddresses => "set discovery.directory_address to a free address",
             EntryStep::PrepareMetrics => {
--- a/crates/pinhaven-entry/src/peers/gossip.rs
+++ b/crates/pinhaven-entry/src/peers/gossip.rs
@@ -293,7 +293,7 @@
         &self,
         request: Request<FetchBundleRequest>,
     ) -> Result<Response<FetchBundleResponse>, Status> {
-        Ok(Response::new(self.0.give_version(&request.into_inner())))
+        Ok(Response::new(self.0.serve_version(&request.into_inner())))
     }
 
     async fn relay_once(
--- a/crates/pinhaven-entry/src/peers/news.rs
+++ b/crates/pinhaven-entry/src/peers/news.rs
@@ -84,7 +84,7 @@
 pub(crate) fn listen(address: SocketAddr) -> Result<Arc<NewsSocket>, EntryError> {
     let socket = Async::<UdpSocket>::bind(address);
     socket.map(Arc::new).map_err(|error| EntryError::System {
-        step: EntryStep::ListenForNews,
+        step: EntryStep::ListenForDatagrams,
         peer: address.to_string(),
         message: error.to_string(),
     })
--- a/crates/pinhaven-entry/src/peers/news_hearing.rs
+++ b/crates/pinhaven-entry/src/peers/news_hearing.rs
@@ -66,7 +66,7 @@
         let targets = news.targets.unwrap_or_default().rows();
         self.hear_targets(incarnation, &beat, &targets, news.is_whole);
         let calls_at = self.calls_at(incarnation).unwrap_or(peer);
-        self.hear_version(calls_at, BundleVersion::new(beat.version));
+        self.learn_version(calls_at, BundleVersion::new(beat.version));
         if let Some(list) = news.list {
             let age = list
                 .age_ms
@@ -107,7 +107,7 @@
     fn wake_waiting(&self) {
         for service in self.snapshot.load().services.values() {
             if service.state.waiting() > 0 {
-                service.place_freed.notify(1);
+                service.capacity_freed.notify(1);
             }
         }
     }
--- a/crates/pinhaven-entry/src/peers/peer_rows.rs
+++ b/crates/pinhaven-entry/src/peers/peer_rows.rs
@@ -3,7 +3,7 @@
 //! Few entries keep one: those that speak with the store for all.
 
 use crate::entry::Entry;
-use crate::versions::discovered::DELEGATE_LOOK_MS;
+use crate::versions::discovered::DELEGATE_POLL_MS;
 use crate::versions::store_pace::FIRST_RANK;
 use crate::versions::store_pace::pause_before_retry;
 use pinhaven_agree::RetryPause;
@@ -29,8 +29,8 @@
             return;
         };
         sleep_ms(FIRST_ROW_MS).await;
-        while !self.speaks_with_store(true) {
-            sleep_ms(DELEGATE_LOOK_MS).await;
+        while !self.uses_store(true) {
+            sleep_ms(DELEGATE_POLL_MS).await;
         }
         let mut pause = RetryPause::default();
         while let Err(error) = self.announce(&store).await {
@@ -42,7 +42,7 @@
         loop {
             let is_meeting = looks.is_multiple_of(LOOKS_PER_MEETING);
             let is_alone = self.members.lock().live_peers(self.now()).is_empty();
-            if is_alone || (is_meeting && self.speaks_with_store(true)) {
+            if is_alone || (is_meeting && self.uses_store(true)) {
                 self.look_for_members(&store).await;
             }
             looks += 1;
--- a/crates/pinhaven-entry/src/request/dispatch.rs
+++ b/crates/pinhaven-entry/src/request/dispatch.rs
@@ -108,7 +108,7 @@
         let places = self.under_way.len() + self.answers.len();
         self.under_way.clear();
         self.answers.clear();
-        self.job.service.place_freed.notify(places.max(1));
+        self.job.service.capacity_freed.notify(places.max(1));
     }
 }
 
@@ -119,7 +119,7 @@
             // Listening begins before the actions, so that no freed place is missed.
             let place = step
                 .awaits_capacity
-                .then(|| self.job.service.place_freed.listen(self.priority()));
+                .then(|| self.job.service.capacity_freed.listen(self.priority()));
             for action in std::mem::take(&mut step.actions) {
                 match action {
                     Action::Send(attempt) => self.send(attempt),
@@ -242,14 +242,14 @@
         self.note(TraceEvent::Cancelled { attempt: id.0 });
         self.under_way
             .retain(|under_way| under_way.attempt.id != id);
-        self.job.service.place_freed.notify(1);
+        self.job.service.capacity_freed.notify(1);
     }
 
     /// Drops answers that the step did not deliver, and with them their places.
     fn drop_answers(&mut self) {
         if !self.answers.is_empty() {
             self.answers.clear();
-            self.job.service.place_freed.notify(1);
+            self.job.service.capacity_freed.notify(1);
         }
     }
 
@@ -369,7 +369,7 @@
     fn free_place(&self, attempt: Attempt, count: Count) {
         drop(attempt);
         self.job.entry.counters.add(count);
-        self.job.service.place_freed.notify(1);
+        self.job.service.capacity_freed.notify(1);
     }
 
     fn outcome_of(&mut self, answer: &Answer) -> AttemptOutcome {
@@ -411,7 +411,7 @@
         let pool = self.job.service.pools.get(&attempt.target.address());
         let held = Held {
             entry: Arc::clone(&self.job.entry),
-            place_freed: Arc::clone(&self.job.service.place_freed),
+            place_freed: Arc::clone(&self.job.service.capacity_freed),
             sender: ReturnSender::new(pool.cloned().unwrap_or_default(), answer.sender),
             attempt: Some(attempt),
             subject: Subject::new(self.job),
--- a/crates/pinhaven-entry/src/start.rs
+++ b/crates/pinhaven-entry/src/start.rs
@@ -38,7 +38,7 @@
 /// How long a peer's connection may be idle, in milliseconds.
 const PEER_IDLE_MS: u64 = 60_000;
 /// How often the start looks whether a version is in force, in milliseconds.
-const READY_LOOK_MS: u64 = 20;
+const READY_POLL_MS: u64 = 20;
 
 /// Runs an entry until it gets SIGTERM or SIGINT, then stops it as planned. Returns whether the stop
 /// finished everything in flight.
@@ -101,9 +101,9 @@
     serve(&entry, &servers);
     if entry.discovery.is_some() {
         serve_directory(&entry)?;
-        run_beside_discovered(&entry, servers.peers.local_address())?;
+        spawn_discovery_tasks(&entry, servers.peers.local_address())?;
     } else {
-        run_beside(&entry);
+        spawn_bundle_tasks(&entry);
     }
     if let Some(client) = metrics_client {
         spawn(Arc::clone(&entry).report_metrics(client)).detach();
@@ -155,18 +155,18 @@
 }
 
 /// Starts what runs beside the requests.
-fn run_beside(entry: &Arc<Entry>) {
+fn spawn_bundle_tasks(entry: &Arc<Entry>) {
     spawn(Arc::clone(entry).follow_bundles()).detach();
     spawn(Arc::clone(entry).gossip()).detach();
     spawn(Arc::clone(entry).keep_seat()).detach();
     spawn(Arc::clone(entry).probe()).detach();
-    spawn(Arc::clone(entry).count_epochs()).detach();
-    spawn(Arc::clone(entry).announce_start()).detach();
+    spawn(Arc::clone(entry).advance_epochs()).detach();
+    spawn(Arc::clone(entry).write_start_rows()).detach();
     spawn(Arc::clone(entry).wake_for_crashes()).detach();
 }
 
 /// Starts what runs beside the requests where a store holds everything.
-fn run_beside_discovered(entry: &Arc<Entry>, news_address: SocketAddr) -> Result<(), EntryError> {
+fn spawn_discovery_tasks(entry: &Arc<Entry>, news_address: SocketAddr) -> Result<(), EntryError> {
     let socket = news::listen(news_address)?;
     spawn(Arc::clone(entry).follow_configuration()).detach();
     spawn(Arc::clone(entry).keep_target_list()).detach();
@@ -180,7 +180,7 @@
 
 impl Entry {
     /// Begins epochs of once-only requests for ever.
-    async fn count_epochs(self: Arc<Self>) {
+    async fn advance_epochs(self: Arc<Self>) {
         loop {
             sleep_ms(self.settings.ledger_epoch_ms).await;
             self.ledger.lock().advance_epoch();
@@ -188,10 +188,10 @@
     }
 
     /// Writes the own row, and again once this entry is ready.
-    async fn announce_start(self: Arc<Self>) {
+    async fn write_start_rows(self: Arc<Self>) {
         self.write_own_row().await;
         while self.state() == MemberState::Starting {
-            sleep_ms(READY_LOOK_MS).await;
+            sleep_ms(READY_POLL_MS).await;
         }
         if self.state() == MemberState::Ready {
             log::info!(target: "entry", "Ready.");
--- a/crates/pinhaven-entry/src/start_wait.rs
+++ b/crates/pinhaven-entry/src/start_wait.rs
@@ -12,7 +12,7 @@
 
 impl Entry {
     /// Waits until this entry can serve, if it has only just started.
-    pub(crate) async fn until_ready(&self) {
+    pub(crate) async fn wait_until_ready(&self) {
         // All but the first requests end here, without the lock that the state stands behind.
         if self.is_ready.load(Ordering::Relaxed) || !self.is_starting() {
             return;
--- a/crates/pinhaven-entry/src/stop.rs
+++ b/crates/pinhaven-entry/src/stop.rs
@@ -19,17 +19,17 @@
 /// Exchanges that the word may take to all entries.
 const EXCHANGES_TO_SPREAD: u64 = 4;
 /// How long peers may take to close their connections.
-const PEERS_MOST: Duration = Duration::from_millis(500);
+const PEER_WAIT_MAX: Duration = Duration::from_millis(500);
 /// Share of the grace for which requests are still taken. Callers learn of the stop within the time
 /// that they keep an answer; the rest is for the longest requests.
-const SERVE_ON_SHARE: f64 = 0.45;
+const DRAIN_SHARE: f64 = 0.45;
 /// Time kept between the end of a stop and the end of the grace, in milliseconds.
 const KILL_MARGIN_MS: u64 = 300;
 /// Time for the final answers of requests that can't be waited for, in milliseconds. They have to reach
 /// callers some 10 ms away.
 const FINAL_ANSWERS_MS: u64 = 150;
 /// How often the requests in flight are counted, in milliseconds.
-const COUNT_MS: u64 = 10;
+const IDLE_POLL_MS: u64 = 10;
 
 /// The servers of an entry.
 pub(crate) struct Servers {
@@ -42,7 +42,7 @@
 /// How long each part of a stop may take.
 struct StopPlan {
     /// How long requests are still taken, as callers keep older answers, in milliseconds.
-    serve_on_ms: u64,
+    drain_ms: u64,
     /// How long those in flight may then take, in milliseconds.
     finish_ms: u64,
 }
@@ -52,16 +52,16 @@
         let Some(discovery) = &entry.settings.discovery else {
             let keep_ms = entry.snapshot.load().bundle().address_keep_ms;
             return Self {
-                serve_on_ms: keep_ms + entry.settings.gossip_ms * EXCHANGES_TO_SPREAD,
+                drain_ms: keep_ms + entry.settings.gossip_ms * EXCHANGES_TO_SPREAD,
                 finish_ms: entry.settings.stop_most_ms,
             };
         };
         // The process is killed when its grace is over, so both parts have to fit into it.
         let grace_ms = discovery.stop_grace_ms;
-        let serve_on_ms = (grace_ms as f64 * SERVE_ON_SHARE) as u64;
+        let drain_ms = (grace_ms as f64 * DRAIN_SHARE) as u64;
         Self {
-            serve_on_ms,
-            finish_ms: grace_ms.saturating_sub(serve_on_ms + KILL_MARGIN_MS),
+            drain_ms,
+            finish_ms: grace_ms.saturating_sub(drain_ms + KILL_MARGIN_MS),
         }
     }
 }
@@ -78,7 +78,7 @@
         .discovery
         .is_none()
         .then(|| spawn(async move { writer.write_own_row().await }));
-    sleep_ms(plan.serve_on_ms).await;
+    sleep_ms(plan.drain_ms).await;
     log::info!(target: "stop", "Finishing {} requests in flight.", entry.in_flight());
     servers.callers.close_gracefully();
     let wait_ms = plan.finish_ms.saturating_sub(FINAL_ANSWERS_MS);
@@ -104,8 +104,8 @@
 
 async fn wait_until_closed(server: &HttpServer) {
     let began = Instant::now();
-    while began.elapsed() < PEERS_MOST && server.open_connections() > 0 {
-        sleep_ms(COUNT_MS).await;
+    while began.elapsed() < PEER_WAIT_MAX && server.open_connections() > 0 {
+        sleep_ms(IDLE_POLL_MS).await;
     }
 }
 
@@ -118,7 +118,7 @@
         if entry.in_flight() == 0 && !may_get_more {
             return true;
         }
-        sleep_ms(COUNT_MS).await;
+        sleep_ms(IDLE_POLL_MS).await;
     }
     entry.in_flight() == 0
 }
--- a/crates/pinhaven-entry/src/targets/listed_targets.rs
+++ b/crates/pinhaven-entry/src/targets/listed_targets.rs
@@ -52,7 +52,7 @@
             };
             if due_in > Microseconds::ZERO {
                 sleep_ms((due_in.count() / 1_000).clamp(LIST_PAUSE_MS.0, LIST_PAUSE_MS.1)).await;
-            } else if !is_known && !self.speaks_with_store(false) {
+            } else if !is_known && !self.uses_store(false) {
                 sleep_ms(LIST_PAUSE_MS.0).await;
             } else if self.read_targets().await {
                 pause = RetryPause::default();
@@ -117,7 +117,7 @@
             target: "targets", "{} targets are known at revision {}.",
             after.targets.len(), after.revision
         );
-        self.take_changed_targets();
+        self.apply_target_changes();
         self.restarts.announce();
         self.urgent_update.notify(usize::MAX);
     }
--- a/crates/pinhaven-entry/src/versions/bundles.rs
+++ b/crates/pinhaven-entry/src/versions/bundles.rs
@@ -6,7 +6,7 @@
 
 use crate::entry::Entry;
 use crate::versions::snapshot::Snapshot;
-use crate::versions::snapshot::Surroundings;
+use crate::versions::snapshot::SnapshotContext;
 use crate::watch::counters::Count;
 use pinhaven_agree::MemberState;
 use pinhaven_agree::Offer;
@@ -39,7 +39,7 @@
             let is_in_force = self.version.lock().version() > BundleVersion::NONE;
             let is_reader = self.members.lock().is_head_reader(HEAD_READERS, self.now());
             if !is_in_force || is_reader || polls.is_multiple_of(HEAD_POLL_SLOW_FACTOR) {
-                let platform_answered = self.look_at_head().await;
+                let platform_answered = self.poll_head().await;
                 if !platform_answered && !is_in_force {
                     self.ask_peers_for_start().await;
                 }
@@ -50,7 +50,7 @@
     }
 
     /// Returns whether the platform's head is in force here now.
-    async fn look_at_head(self: &Arc<Self>) -> bool {
+    async fn poll_head(self: &Arc<Self>) -> bool {
         let read = self.table.read(BUNDLE_HEAD).await;
         let row = match self.count_platform(read) {
             Ok(Some(row)) => row,
@@ -84,7 +84,7 @@
             Ok(None) | Err(_) => return self.ask_all_peers().await >= head.version,
         };
         self.adopt(move |entry| match CanonicalBundle::from_bytes(&bytes) {
-            Ok(body) => entry.take_offer(Offer::new(head, body)),
+            Ok(body) => entry.accept_offer(Offer::new(head, body)),
             Err(error) => {
                 log::error!(target: "bundle", "The body of {} is no bundle: {error}.", head.digest);
                 false
@@ -107,7 +107,7 @@
         self.adopt(move |entry| {
             let delta: Option<BundleDelta> = serde_json::from_slice(&bytes).ok();
             let body = delta.and_then(|delta| entry.apply_deltas(&head, vec![delta]));
-            body.is_some_and(|body| entry.take_offer(Offer::new(head, body)))
+            body.is_some_and(|body| entry.accept_offer(Offer::new(head, body)))
         })
         .await
     }
@@ -164,9 +164,9 @@
     }
 
     /// Puts a version from a peer in force, if it is what it says. Only [`Self::adopt`] may call this.
-    pub(crate) fn take_from_peer(&self, head: BundleHead, body: CanonicalBundle) -> bool {
+    pub(crate) fn accept_from_peer(&self, head: BundleHead, body: CanonicalBundle) -> bool {
         if self.discovery.is_none() {
-            return self.take_offer(Offer::new(head, body));
+            return self.accept_offer(Offer::new(head, body));
         }
         // The store acknowledged it to the peer; a body that came whole is the one it acknowledged.
         if body.digest() != head.digest {
@@ -174,11 +174,11 @@
             log::error!(target: "bundle", "Version {} came altered from a peer.", head.version);
             return false;
         }
-        self.take_acknowledged(body)
+        self.accept_acknowledged(body)
     }
 
     /// Puts a version in force that the store has acknowledged to an operator.
-    pub(crate) fn take_acknowledged(&self, body: CanonicalBundle) -> bool {
+    pub(crate) fn accept_acknowledged(&self, body: CanonicalBundle) -> bool {
         match Offer::acknowledged(body) {
             Ok(offer) => self.put_in_force(offer),
             Err(error) => {
@@ -205,7 +205,7 @@
 
     /// Verifies a version and puts it in force. Returns whether it, or a newer one, is now. Only
     /// [`Self::adopt`] may call this, so that versions come one at a time.
-    fn take_offer(&self, offer: Offer<pinhaven_agree::Offered>) -> bool {
+    fn accept_offer(&self, offer: Offer<pinhaven_agree::Offered>) -> bool {
         let number = offer.head().version;
         if number <= self.version.lock().version() {
             return true;
@@ -231,7 +231,7 @@
         let body = Arc::clone(verified.body());
         let signer = verified.head().signer.clone();
         let previous = self.snapshot.load_full();
-        let next = self.snapshot_of(Arc::clone(&body), &previous);
+        let next = self.build_snapshot(Arc::clone(&body), &previous);
         if self.version.lock().put_in_force(verified).is_err() {
             return true;
         }
@@ -259,22 +259,22 @@
     }
 
     /// The snapshot of a version with the targets that are known now.
-    fn snapshot_of(&self, body: Arc<CanonicalBundle>, previous: &Snapshot) -> Snapshot {
+    fn build_snapshot(&self, body: Arc<CanonicalBundle>, previous: &Snapshot) -> Snapshot {
         let listed = self.targets.lock().targets();
-        let around = Surroundings {
+        let context = SnapshotContext {
             listed: &listed,
             domain: &self.settings.failure_domain,
         };
-        Snapshot::new(body, around, previous, self.now())
+        Snapshot::new(body, context, previous, self.now())
     }
 
     /// Brings the snapshot up to date with the list of targets.
-    pub(crate) fn take_changed_targets(&self) {
+    pub(crate) fn apply_target_changes(&self) {
         // A version that is being taken meanwhile may have looked at the list before it changed.
         let _turn = self.adopt_lock.lock();
         let previous = self.snapshot.load_full();
         if let Some(body) = previous.body() {
-            let next = self.snapshot_of(Arc::clone(body), &previous);
+            let next = self.build_snapshot(Arc::clone(body), &previous);
             self.snapshot.store(Arc::new(next));
             self.share_added_attempts();
         }
--- a/crates/pinhaven-entry/src/versions/discovered.rs
+++ b/crates/pinhaven-entry/src/versions/discovered.rs
@@ -25,20 +25,20 @@
 const STORE_HEAD_START_MS: u64 = 200;
 /// How much later than a peer an entry may learn of a version from the store before its own call there
 /// counts as dead, in milliseconds. A slow store takes up to 400.
-const STORE_BEHIND_MOST_MS: u64 = 1_500;
+const STORE_LAG_MAX_MS: u64 = 1_500;
 /// Age until which an entry that others speak with the store for waits for what they have. When all
 /// start together, those have it after a few hundred milliseconds.
-const ASK_PEERS_ONLY: Microseconds = Microseconds::from_ms(700);
+const PEERS_ONLY_AGE: Microseconds = Microseconds::from_ms(700);
 /// Time between two looks of an entry that does not follow the configuration, as others do for it, while
 /// there is none, in milliseconds.
-const ABSENT_LOOK_MS: u64 = 4_000;
+const ABSENT_POLL_MS: u64 = 4_000;
 /// How often an entry that does not follow the configuration looks whether it should, in milliseconds.
 /// The others notice within 2 s that one that did is gone.
-pub(crate) const DELEGATE_LOOK_MS: u64 = 100;
+pub(crate) const DELEGATE_POLL_MS: u64 = 100;
 
 /// A change that comes within this time of the question for it was there before. The store takes 4 ms for an answer;
 /// one that is slow, for which there is no hurry, hundreds.
-const AT_ONCE: Duration = Duration::from_millis(100);
+const PRIOR_CHANGE_WAIT_MAX: Duration = Duration::from_millis(100);
 
 impl Entry {
     /// The store that holds everything, if there is one.
@@ -55,10 +55,10 @@
         let mut pause = RetryPause::default();
         loop {
             let is_in_force = self.version.lock().version() > BundleVersion::NONE;
-            if !self.speaks_with_store(is_in_force) {
+            if !self.uses_store(is_in_force) {
                 // What changes until this entry follows again is learned by reading it anew.
                 position = None;
-                sleep_ms(DELEGATE_LOOK_MS).await;
+                sleep_ms(DELEGATE_POLL_MS).await;
                 continue;
             }
             let anew = self.restart_following.listen();
@@ -77,12 +77,12 @@
                     position = Some(news.position);
                     let is_there = news.bundle.is_some();
                     let times = news.times;
-                    self.take_configuration(news).await;
-                    self.leave_room_on_link(times).await;
-                    if !is_there && !self.speaks_with_store(true) {
+                    self.accept_configuration(news).await;
+                    self.pause_for_link_share(times).await;
+                    if !is_there && !self.uses_store(true) {
                         // Nobody has one yet; those that follow will hear of the first.
                         position = None;
-                        sleep_ms(ABSENT_LOOK_MS).await;
+                        sleep_ms(ABSENT_POLL_MS).await;
                     }
                 }
                 Err(error) => {
@@ -96,12 +96,12 @@
     }
 
     /// Waits after changes that came slowly one after the other, so that peers have a part of the link, too.
-    async fn leave_room_on_link(&self, times: Option<AnswerTimes>) {
+    async fn pause_for_link_share(&self, times: Option<AnswerTimes>) {
         let Some(AnswerTimes { waited, coming }) = times else {
             return;
         };
         let coming = Microseconds::new(coming.as_micros() as u64);
-        let pause = pause_after_answer(waited < AT_ONCE, coming);
+        let pause = pause_after_answer(waited < PRIOR_CHANGE_WAIT_MAX, coming);
         if pause > Microseconds::ZERO {
             log::info!(
                 target: "bundle",
@@ -112,7 +112,7 @@
         }
     }
 
-    async fn take_configuration(self: &Arc<Self>, news: ConfigurationNews) {
+    async fn accept_configuration(self: &Arc<Self>, news: ConfigurationNews) {
         let Some(bundle) = news.bundle else {
             return;
         };
@@ -123,13 +123,13 @@
         if bundle.version <= self.version.lock().version() {
             return;
         }
-        self.adopt(move |entry| entry.take_acknowledged(CanonicalBundle::new(bundle)))
+        self.adopt(move |entry| entry.accept_acknowledged(CanonicalBundle::new(bundle)))
             .await;
     }
 
     /// Whether this entry speaks with the store itself: as one of the few that do for all, or as there
     /// is nothing to be had from peers. What it `has` already it may keep taking from them.
-    pub(crate) fn speaks_with_store(&self, has: bool) -> bool {
+    pub(crate) fn uses_store(&self, has: bool) -> bool {
         let now = self.now();
         let age = self.clock.age();
         if age < self.store_access_after {
@@ -137,17 +137,17 @@
         }
         let members = self.members.lock();
         let is_alone = members.live_peers(now).is_empty();
-        is_alone || members.is_delegate(now) || (!has && age >= ASK_PEERS_ONLY)
+        is_alone || members.is_delegate(now) || (!has && age >= PEERS_ONLY_AGE)
     }
 
     /// Fetches a configuration that a peer has and this entry lacks, unless the store brings it in
     /// the meantime.
-    pub(crate) fn hear_version(self: &Arc<Self>, peer: SocketAddr, version: BundleVersion) {
+    pub(crate) fn learn_version(self: &Arc<Self>, peer: SocketAddr, version: BundleVersion) {
         if version <= self.version.lock().version() {
             return;
         }
         self.version_lag.lock().record_known(version, self.now());
-        let follows = self.speaks_with_store(true);
+        let follows = self.uses_store(true);
         if !follows && self.is_fetching.load(Ordering::Relaxed) {
             return;
         }
@@ -168,7 +168,7 @@
 
     /// Follows the configuration anew if the store does not bring a version that a peer has.
     async fn watch_store_for(&self, version: BundleVersion) {
-        sleep_ms(STORE_BEHIND_MOST_MS).await;
+        sleep_ms(STORE_LAG_MAX_MS).await;
         let is_coming = self
             .store()
             .is_some_and(|store| store.is_receiving_configuration());
--- a/crates/pinhaven-entry/src/versions/fetch.rs
+++ b/crates/pinhaven-entry/src/versions/fetch.rs
@@ -29,13 +29,13 @@
 use std::time::Duration;
 
 /// Peers that are asked one after the other in a round.
-const PEERS_TRIED_MOST: usize = 3;
+const PEERS_TRIED_MAX: usize = 3;
 /// Rounds in which all were busy before the next news of a version starts anew.
-const ROUNDS_MOST: u32 = 20;
+const ROUNDS_MAX: u32 = 20;
 /// How often a package may be begun anew at one peer. It is when the peer has another one than was begun.
-const RESTARTS_MOST: u32 = 2;
+const RESTARTS_MAX: u32 = 2;
 
-/// How asking a peer ended.
+/// How attempt a peer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Outcome {
     /// A newer version is in force.
@@ -57,28 +57,28 @@
 }
 
 /// What to do after a reply.
-enum Next {
+enum NextStep {
     Ask,
-    Adopt(Arrived),
+    Adopt(ReceivedVersion),
     Leave(Outcome),
 }
 
 /// A version that has come whole.
-enum Arrived {
+enum ReceivedVersion {
     Package(Vec<u8>),
     Unpacked(Box<UnpackedPackage>),
 }
 
 /// Asking one peer.
-struct Asking {
+struct PeerAttempt {
     peer: SocketAddr,
     restarts: u32,
 }
 
 /// The one fetch that may be under way; others may begin once this is dropped.
-struct Fetching(Arc<Entry>);
+struct FetchGuard(Arc<Entry>);
 
-impl Fetching {
+impl FetchGuard {
     /// Begins, unless one is under way.
     fn begin(entry: &Arc<Entry>) -> Option<Self> {
         let is_under_way = entry.is_fetching.swap(true, Ordering::Acquire);
@@ -86,7 +86,7 @@
     }
 }
 
-impl Drop for Fetching {
+impl Drop for FetchGuard {
     fn drop(&mut self) {
         self.0.is_fetching.store(false, Ordering::Release);
     }
@@ -96,12 +96,12 @@
     /// Takes a newer version from a peer or from others that have it. While one is being taken this does
     /// nothing; the next news shows whether there is still something to take.
     pub(crate) async fn fetch_from(self: &Arc<Self>, peer: SocketAddr) {
-        let Some(_fetching) = Fetching::begin(self) else {
+        let Some(_fetch_guard) = FetchGuard::begin(self) else {
             return;
         };
         let mut first = Some(peer);
-        for _ in 0..ROUNDS_MOST {
-            let Some(away) = self.ask_round(first.take()).await else {
+        for _ in 0..ROUNDS_MAX {
+            let Some(away) = self.run_round(first.take()).await else {
                 return;
             };
             // Askers that were sent away at the same time come back at different ones.
@@ -112,7 +112,7 @@
 
     /// Asks a few peers one after the other. Returns how long to stay away when the last ones that have what is
     /// missing were busy.
-    async fn ask_round(self: &Arc<Self>, first: Option<SocketAddr>) -> Option<Duration> {
+    async fn run_round(self: &Arc<Self>, first: Option<SocketAddr>) -> Option<Duration> {
         let mut tried = Vec::new();
         let mut away: Option<Duration> = None;
         let mut next = first.or_else(|| self.next_holder(&tried));
@@ -139,7 +139,7 @@
     /// Another peer that has what this entry lacks.
     fn next_holder(&self, tried: &[SocketAddr]) -> Option<SocketAddr> {
         let held = self.version.lock().version();
-        if tried.len() >= PEERS_TRIED_MOST || self.version_lag.lock().known() <= held {
+        if tried.len() >= PEERS_TRIED_MAX || self.version_lag.lock().known() <= held {
             return None;
         }
         let members = self.members.lock();
@@ -148,20 +148,20 @@
 
     /// Takes a package from a peer, part by part, and what it leads to.
     async fn fetch_package(self: &Arc<Self>, peer: SocketAddr) -> Outcome {
-        let mut asking = Asking { peer, restarts: 0 };
+        let mut attempt = PeerAttempt { peer, restarts: 0 };
         loop {
             let request = self.part_request();
-            let next = match self.ask_for_part(peer, request).await {
-                Ok(reply) => self.take_reply(&mut asking, request, reply),
+            let next = match self.fetch_part(peer, request).await {
+                Ok(reply) => self.handle_reply(&mut attempt, request, reply),
                 Err(error) => {
                     self.version_fetch.lock().record_timeout();
-                    self.leave(&error)
+                    self.abandon_peer(&error)
                 }
             };
             match next {
-                Next::Ask => {}
-                Next::Adopt(arrived) => return self.adopt_arrived(peer, arrived).await,
-                Next::Leave(outcome) => return outcome,
+                NextStep::Ask => {}
+                NextStep::Adopt(received) => return self.adopt_received(peer, received).await,
+                NextStep::Leave(outcome) => return outcome,
             }
         }
     }
@@ -171,48 +171,59 @@
         self.version_fetch.lock().request(held)
     }
 
-    async fn ask_for_part(&self, peer: SocketAddr, request: PartRequest) -> Result<Reply, String> {
+    async fn fetch_part(&self, peer: SocketAddr, request: PartRequest) -> Result<Reply, String> {
         let timeout = Duration::from_micros(PART_TIMEOUT.count());
-        let message = message_of(request);
+        let message = fetch_request(request);
         let response = self.peers.fetch_bundle(peer, timeout, message).await;
         let response = response.map_err(|error| error.to_string())?;
-        Ok(reply_of(response))
+        Ok(parse_reply(response))
     }
 
-    fn take_reply(&self, asking: &mut Asking, request: PartRequest, reply: Reply) -> Next {
-        let peer = asking.peer;
+    fn handle_reply(
+        &self,
+        attempt: &mut PeerAttempt,
+        request: PartRequest,
+        reply: Reply,
+    ) -> NextStep {
+        let peer = attempt.peer;
         match reply {
-            Reply::NothingNewer => Next::Leave(Outcome::TryAnother),
-            Reply::Busy(away) => Next::Leave(Outcome::Busy(away)),
-            Reply::Part(part) => self.take_part(asking, request, part),
-            Reply::Unpacked(unpacked) => Next::Adopt(Arrived::Unpacked(unpacked)),
-            Reply::Unreadable(why) => self.leave(&format!("{why}, from {peer}")),
+            Reply::NothingNewer => NextStep::Leave(Outcome::TryAnother),
+            Reply::Busy(away) => NextStep::Leave(Outcome::Busy(away)),
+            Reply::Part(part) => self.handle_part(attempt, request, part),
+            Reply::Unpacked(unpacked) => NextStep::Adopt(ReceivedVersion::Unpacked(unpacked)),
+            Reply::Unreadable(why) => self.abandon_peer(&format!("{why}, from {peer}")),
         }
     }
 
-    fn take_part(&self, asking: &mut Asking, request: PartRequest, part: Part) -> Next {
-        let peer = asking.peer;
-        asking.restarts += u32::from(request.offset > 0 && part.offset == 0);
-        if asking.restarts > RESTARTS_MOST {
-            return self.leave(&format!("{peer} gives another package each time"));
+    fn handle_part(&self, attempt: &mut PeerAttempt, request: PartRequest, part: Part) -> NextStep {
+        let peer = attempt.peer;
+        attempt.restarts += u32::from(request.offset > 0 && part.offset == 0);
+        if attempt.restarts > RESTARTS_MAX {
+            return self.abandon_peer(&format!("{peer} gives another package each time"));
         }
         match self.version_fetch.lock().record_part(request, part) {
-            Fetched::More => Next::Ask,
-            Fetched::Package(bytes) => Next::Adopt(Arrived::Package(bytes)),
-            Fetched::Rejected => self.leave(&format!("a part from {peer} fits nothing")),
+            Fetched::More => NextStep::Ask,
+            Fetched::Package(bytes) => NextStep::Adopt(ReceivedVersion::Package(bytes)),
+            Fetched::Rejected => self.abandon_peer(&format!("a part from {peer} fits nothing")),
         }
     }
 
     /// Leaves a peer that failed.
-    fn leave(&self, why: &str) -> Next {
+    fn abandon_peer(&self, why: &str) -> NextStep {
         self.miss_version(why);
-        Next::Leave(Outcome::TryAnother)
+        NextStep::Leave(Outcome::TryAnother)
     }
 
-    async fn adopt_arrived(self: &Arc<Self>, peer: SocketAddr, arrived: Arrived) -> Outcome {
+    async fn adopt_received(
+        self: &Arc<Self>,
+        peer: SocketAddr,
+        received: ReceivedVersion,
+    ) -> Outcome {
         let before = self.version.lock().version();
-        let is_taken = self.adopt(move |entry| entry.take_arrived(arrived)).await;
-        if !is_taken {
+        let is_accepted = self
+            .adopt(move |entry| entry.accept_received(received))
+            .await;
+        if !is_accepted {
             self.miss_version(&format!("what {peer} gave can't be put in force"));
             return Outcome::TryAnother;
         }
@@ -224,10 +235,10 @@
     }
 
     /// Only [`Self::adopt`] may call this.
-    fn take_arrived(&self, arrived: Arrived) -> bool {
-        let unpacked = match arrived {
-            Arrived::Unpacked(unpacked) => Ok(*unpacked),
-            Arrived::Package(bytes) => {
+    fn accept_received(&self, received: ReceivedVersion) -> bool {
+        let unpacked = match received {
+            ReceivedVersion::Unpacked(unpacked) => Ok(*unpacked),
+            ReceivedVersion::Package(bytes) => {
                 let length = bytes.len() as u64;
                 self.counters.add_many(Count::PeerBytes, length);
                 self.counters.add_many(Count::BundleBytes, length);
@@ -235,7 +246,7 @@
             }
         };
         match unpacked {
-            Ok(unpacked) => self.take_unpacked(unpacked),
+            Ok(unpacked) => self.accept_unpacked(unpacked),
             Err(error) => {
                 log::error!(target: "bundle", "A package can't be used: {error}.");
                 false
@@ -243,21 +254,21 @@
         }
     }
 
-    fn take_unpacked(&self, unpacked: UnpackedPackage) -> bool {
+    fn accept_unpacked(&self, unpacked: UnpackedPackage) -> bool {
         let UnpackedPackage { head, content } = unpacked;
         let steps = match &content {
             PackageContent::Differences(deltas) => deltas.clone(),
             PackageContent::Whole(_) => Vec::new(),
         };
-        let body = self.body_of(&head, content);
-        let is_taken = body.is_some_and(|body| self.take_from_peer(head, body));
-        if is_taken {
+        let body = self.resolve_body(&head, content);
+        let is_accepted = body.is_some_and(|body| self.accept_from_peer(head, body));
+        if is_accepted {
             self.recent_deltas.lock().refine_last(steps);
         }
-        is_taken
+        is_accepted
     }
 
-    fn body_of(&self, head: &BundleHead, content: PackageContent) -> Option<CanonicalBundle> {
+    fn resolve_body(&self, head: &BundleHead, content: PackageContent) -> Option<CanonicalBundle> {
         let deltas = match content {
             PackageContent::Whole(body) => return Some(body),
             PackageContent::Differences(deltas) => deltas,
@@ -273,7 +284,7 @@
     }
 }
 
-fn message_of(request: PartRequest) -> FetchBundleRequest {
+fn fetch_request(request: PartRequest) -> FetchBundleRequest {
     let package = request.package.map(|digest| digest.as_bytes().to_vec());
     FetchBundleRequest {
         held_version: request.held.number(),
@@ -284,7 +295,7 @@
     }
 }
 
-fn reply_of(response: FetchBundleResponse) -> Reply {
+fn parse_reply(response: FetchBundleResponse) -> Reply {
     if response.busy_ms > 0 {
         let away = Microseconds::from_ms(u64::from(response.busy_ms)).min(AWAY_MOST);
         return Reply::Busy(Duration::from_micros(away.count()));
@@ -295,7 +306,7 @@
     };
     match response.body {
         None => Reply::NothingNewer,
-        Some(FetchedBody::Part(part)) => part_of(part),
+        Some(FetchedBody::Part(part)) => parse_part(part),
         Some(FetchedBody::Whole(bytes)) => match CanonicalBundle::from_bytes(&bytes) {
             Ok(body) => unpacked(PackageContent::Whole(body)),
             Err(_) => Reply::Unreadable("its version can't be read"),
@@ -307,7 +318,7 @@
     }
 }
 
-fn part_of(part: BundlePart) -> Reply {
+fn parse_part(part: BundlePart) -> Reply {
     match Digest::from_bytes(&part.package) {
         Some(package) => Reply::Part(Part {
             version: BundleVersion::new(part.version),
--- a/crates/pinhaven-entry/src/versions/mod.rs
+++ b/crates/pinhaven-entry/src/versions/mod.rs
@@ -6,8 +6,8 @@
 pub(crate) mod bundles;
 pub(crate) mod discovered;
 pub(crate) mod fetch;
-pub(crate) mod give;
 pub(crate) mod reload;
+pub(crate) mod serve;
 pub(crate) mod service_entry;
 pub(crate) mod snapshot;
 pub(crate) mod store_pace;
--- a/crates/pinhaven-entry/src/versions/give.rs
+++ b/crates/pinhaven-entry/src/versions/serve.rs
@@ -19,7 +19,7 @@
 
 impl Entry {
     /// The answer to a peer that asks for a newer version than it holds.
-    pub(crate) fn give_version(&self, request: &FetchBundleRequest) -> FetchBundleResponse {
+    pub(crate) fn serve_version(&self, request: &FetchBundleRequest) -> FetchBundleResponse {
         let held = BundleVersion::new(request.held_version);
         let newer = {
             let version = self.version.lock();
@@ -30,10 +30,10 @@
             return FetchBundleResponse::default();
         };
         if request.bytes_most == 0 {
-            return whole_body_of(&offer);
+            return whole_version_response(&offer);
         }
-        match self.package_for(request, held, &offer) {
-            Ok(package) => self.give_part(request, &package),
+        match self.select_package(request, held, &offer) {
+            Ok(package) => self.serve_part(request, &package),
             Err(error) => {
                 log::error!(target: "bundle", "Version {} can't be given: {error}.", offer.head().version);
                 FetchBundleResponse::default()
@@ -42,7 +42,7 @@
     }
 
     /// The package that the peer has begun, if it is still here, or else the one that it needs.
-    fn package_for(
+    fn select_package(
         &self,
         request: &FetchBundleRequest,
         held: BundleVersion,
@@ -87,7 +87,7 @@
             .then(|| differences.into_iter().cloned().collect())
     }
 
-    fn give_part(
+    fn serve_part(
         &self,
         request: &FetchBundleRequest,
         package: &BundlePackage,
@@ -130,7 +130,7 @@
 }
 
 /// The answer to a peer that knows no parts.
-fn whole_body_of(offer: &Offer<Verified>) -> FetchBundleResponse {
+fn whole_version_response(offer: &Offer<Verified>) -> FetchBundleResponse {
     FetchBundleResponse {
         head: serde_json::to_vec(offer.head()).unwrap_or_default(),
         body: Some(FetchedBody::Whole(offer.body().bytes().to_vec())),
--- a/crates/pinhaven-entry/src/versions/service_entry.rs
+++ b/crates/pinhaven-entry/src/versions/service_entry.rs
@@ -17,11 +17,11 @@
     pub(crate) state: Arc<ServiceState>,
     pub(crate) pools: HashMap<TargetAddress, Arc<TargetPool>>,
     /// Notified when a request of the service leaves its place.
-    pub(crate) place_freed: Arc<Places>,
+    pub(crate) capacity_freed: Arc<Places>,
 }
 
 /// A service of a new version, with what is known from the one before.
-pub(crate) fn service_entry(
+pub(crate) fn build_service_entry(
     service: &Service,
     domain: &FailureDomain,
     previous: Option<&Arc<ServiceEntry>>,
@@ -47,8 +47,8 @@
         config: service.clone(),
         state: Arc::new(state),
         pools: service.targets.iter().map(pool_of).collect(),
-        place_freed: previous
-            .map(|previous| Arc::clone(&previous.place_freed))
+        capacity_freed: previous
+            .map(|previous| Arc::clone(&previous.capacity_freed))
             .unwrap_or_default(),
     })
 }
--- a/crates/pinhaven-entry/src/versions/snapshot.rs
+++ b/crates/pinhaven-entry/src/versions/snapshot.rs
@@ -3,7 +3,7 @@
 use crate::callers::routes::RouteEntry;
 use crate::callers::routes::RouteTable;
 use crate::versions::service_entry::ServiceEntry;
-use crate::versions::service_entry::service_entry;
+use crate::versions::service_entry::build_service_entry;
 use pinhaven_agree::ListedTarget;
 use pinhaven_agree::TargetList;
 use pinhaven_bundle::Bundle;
@@ -53,7 +53,7 @@
 
 /// What a snapshot is made of besides the bundle.
 #[derive(Clone, Copy)]
-pub(crate) struct Surroundings<'entry> {
+pub(crate) struct SnapshotContext<'entry> {
     /// Targets of services whose targets are discovered.
     pub(crate) listed: &'entry TargetList,
     /// Where this entry stands.
@@ -76,18 +76,18 @@
     /// The snapshot of a bundle. Services that are the same as before are taken over as they are.
     pub(crate) fn new(
         body: Arc<CanonicalBundle>,
-        around: Surroundings<'_>,
+        context: SnapshotContext<'_>,
         previous: &Self,
         now: Microseconds,
     ) -> Self {
         let bundle = body.bundle();
-        let listed = by_service(around.listed);
+        let listed = group_by_service(context.listed);
         let mut services = HashMap::new();
         let mut hosts = HashMap::new();
         for service in &bundle.services {
-            let service = with_listed(service, &listed);
+            let service = with_listed_targets(service, &listed);
             let known = previous.services.get(&service.name);
-            let entry = service_entry(&service, around.domain, known, now);
+            let entry = build_service_entry(&service, context.domain, known, now);
             for host in &service.hosts {
                 hosts.insert(host.to_ascii_lowercase(), Arc::clone(&entry));
             }
@@ -101,7 +101,7 @@
             true => previous.routes.with_services(&services),
             false => RouteTable::new(&bundle.hosts, &services, &previous.routes),
         };
-        let by_key = keyed(&services);
+        let by_key = index_by_key(&services);
         Self {
             version: bundle.version,
             body: Some(body),
@@ -167,7 +167,7 @@
     }
 }
 
-fn keyed(services: &HashMap<ServiceName, Arc<ServiceEntry>>) -> HashMap<u32, KeyedTarget> {
+fn index_by_key(services: &HashMap<ServiceName, Arc<ServiceEntry>>) -> HashMap<u32, KeyedTarget> {
     let mut by_key = HashMap::new();
     for service in services.values() {
         for target in service.state.targets() {
@@ -185,7 +185,7 @@
 }
 
 /// The listed targets of each service.
-fn by_service(listed: &TargetList) -> HashMap<&ServiceName, Vec<&ListedTarget>> {
+fn group_by_service(listed: &TargetList) -> HashMap<&ServiceName, Vec<&ListedTarget>> {
     let mut services: HashMap<&ServiceName, Vec<&ListedTarget>> = HashMap::new();
     for target in listed.targets.values() {
         services.entry(&target.service).or_default().push(target);
@@ -195,7 +195,10 @@
 
 /// A service with the targets that are listed for it. Of two at one address, which can only be while
 /// one is replaced by the other, the one that takes new work counts.
-fn with_listed(service: &Service, listed: &HashMap<&ServiceName, Vec<&ListedTarget>>) -> Service {
+fn with_listed_targets(
+    service: &Service,
+    listed: &HashMap<&ServiceName, Vec<&ListedTarget>>,
+) -> Service {
     let mut service = service.clone();
     let Some(listed) = listed.get(&service.name) else {
         return service;
@@ -203,11 +206,13 @@
     let mut listed = listed.clone();
     listed.sort_by_key(|target| (target.address, target.is_leaving));
     listed.dedup_by_key(|target| target.address);
-    service.targets.extend(listed.into_iter().map(target_of));
+    service
+        .targets
+        .extend(listed.into_iter().map(to_bundle_target));
     service
 }
 
-fn target_of(listed: &ListedTarget) -> Target {
+fn to_bundle_target(listed: &ListedTarget) -> Target {
     Target {
         state: if listed.is_leaving {
             TargetState::Leaving
--- a/crates/pinhaven-entry/src/versions/store_pace.rs
+++ b/crates/pinhaven-entry/src/versions/store_pace.rs
@@ -8,7 +8,7 @@
 /// A seed that lives answers within a few milliseconds. When all have just started, the first few ask the
 /// store and tell the others, which takes some 100 ms. Credit of the two seconds in which all entries lose power:
 /// 0.543, and 0.530 at 20 to 220 ms, for two calls more (15 runs without processor time).
-const ASK_PEERS_FIRST_MS: (u64, u64) = (10, 110);
+const SEEDS_ONLY_MS: (u64, u64) = (10, 110);
 
 /// Rank of an entry where only few ask.
 pub(crate) const FIRST_RANK: u32 = 0;
@@ -20,7 +20,7 @@
 }
 
 /// Age at which an entry may first ask the store.
-pub(crate) fn asks_store_from() -> Microseconds {
-    let (least, most) = ASK_PEERS_FIRST_MS;
+pub(crate) fn store_access_after() -> Microseconds {
+    let (least, most) = SEEDS_ONLY_MS;
     Microseconds::from_ms(fastrand::u64(least..most))
 }
