--- a/crates/pinhaven-entry/src/capacity.rs
+++ b/crates/pinhaven-entry/src/capacity.rs
@@ -1,27 +1,27 @@
-//! How many requests an instance can carry.
+//! Estimate of an instance's request capacity.
 //!
-//! An estimate from what the instance has, so that entries of different sizes can be told apart before
-//! any request has come. It need not be exact: it decides which entries serve and how callers spread
-//! over them.
+//! The estimate is computed from the resources of the instance, so that entries of different sizes can
+//! be compared before any request arrives. An approximate value suffices: it determines which entries
+//! serve and how callers are distributed over them.
 
 use pinhaven_settings::ResourceSettings;
 use pinhaven_types::RequestRate;
 
-/// Processor time of a request, in microseconds; from the users' days, answers of 1 to 5 KB and news
-/// between entries included.
+/// Processor time of a request with an answer of 1 to 5 KB, in microseconds. Includes the request's
+/// share of the datagrams between entries.
 const PROCESSOR_US_PER_REQUEST: f64 = 700.0;
-/// Share of the processor that requests may use. The rest is for bursts.
+/// Share of the processor that requests may use. The rest is reserved for bursts.
 const PROCESSOR_SHARE: f64 = 0.6;
-/// Bytes that a request brings over the link in each direction, on average over the users' kinds of
-/// requests; the uploads among them make up half.
+/// Mean number of bytes that a request transfers over the link in each direction. Uploads account for
+/// half of them.
 const LINK_BYTES_PER_REQUEST: f64 = 8_000.0;
-/// Share of the link that requests may use. Uploads come in pieces of some hundred kilobytes, which
-/// the others wait behind.
+/// Share of the link that requests may use. Uploads arrive in chunks of some hundred kilobytes, which
+/// delay the other requests.
 const LINK_SHARE: f64 = 0.25;
-/// Bytes a second in a megabit a second.
+/// Bytes per second in one megabit per second.
 const BYTES_PER_MEGABIT: f64 = 125_000.0;
 
-/// What an instance with these resources can carry.
+/// Estimated request rate that an instance with these resources can sustain.
 pub(crate) fn capacity_of(resources: &ResourceSettings) -> RequestRate {
     let cores = resources.processor_cores * resources.processor_speed;
     let by_processor = cores * 1_000_000.0 * PROCESSOR_SHARE / PROCESSOR_US_PER_REQUEST;
--- a/crates/pinhaven-entry/src/clock.rs
+++ b/crates/pinhaven-entry/src/clock.rs
@@ -1,13 +1,13 @@
-//! The entry's monotonic clock.
+//! Monotonic clock of an entry.
 
 use pinhaven_types::Microseconds;
 use std::time::Duration;
 use std::time::Instant;
 
-/// What the clock shows at the start. It is past zero so that "never" can be zero.
+/// Time of the clock at the start of the process. Greater than zero, so that zero can stand for "never".
 const START: Microseconds = Microseconds::from_ms(3_600_000);
 
-/// A clock that only goes forward.
+/// Monotonic clock that starts with the process.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
     started: Instant,
@@ -20,16 +20,17 @@
         }
     }
 
+    /// The current time.
     pub(crate) fn now(&self) -> Microseconds {
         START.plus(Microseconds::new(self.started.elapsed().as_micros() as u64))
     }
 
-    /// Time since the entry began.
+    /// Time since the start of the entry.
     pub(crate) fn age(&self) -> Microseconds {
         self.now().saturating_sub(START)
     }
 
-    /// The moment at which the clock will show `time`.
+    /// The instant at which the clock shows `time`.
     pub(crate) fn instant_of(&self, time: Microseconds) -> Instant {
         self.started + Duration::from_micros(time.saturating_sub(START).count())
     }
--- a/crates/pinhaven-entry/src/entry.rs
+++ b/crates/pinhaven-entry/src/entry.rs
@@ -1,4 +1,6 @@
-//! What all parts of an entry share.
+//! State shared by all parts of an entry.
+//!
+//! [`Entry`] is created once per process and shared by the request handlers and the background tasks.
 
 use crate::capacity::capacity_of;
 use crate::clock::Clock;
@@ -52,37 +54,38 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// The largest answer that is kept for a repeated key, in bytes.
+/// Maximum size of an answer stored for repeated keys, in bytes.
 const STORED_ANSWER_BYTES_MAX: usize = 64 * 1024;
-/// All kept answers together, in bytes.
+/// Maximum total size of the stored answers, in bytes.
 const STORED_ANSWERS_BYTES_MAX: usize = 32 * 1024 * 1024;
-/// A member is silent after this many exchanges' time.
+/// Number of gossip intervals without a heartbeat after which a member counts as silent.
 const SILENT_AFTER_EXCHANGES: u64 = 8;
 
-/// What an entry meets outside: how callers and targets speak, and where it finds its configuration,
-/// its targets and its peers if that is a store.
+/// Environment of an entry: the protocol of callers and targets, and the store of the configuration,
+/// the targets and the peers, if there is one.
 pub struct EntryEnvironment {
-    /// How callers and targets speak.
+    /// Protocol of callers and targets.
     pub dialect: Arc<dyn Dialect>,
-    /// The store that holds everything, unless the table service and signed bundles are used.
+    /// Store of the configuration, the targets and the peers; `None` if the entry uses the table
+    /// service and signed bundles.
     pub discovery: Option<Arc<dyn Discovery>>,
-    /// Where decisions are recorded; nowhere without it.
+    /// Recorder of decisions; without a recorder, decisions are not recorded.
     pub recorder: Option<Recorder>,
-    /// Reads the settings again when they are said to have changed.
+    /// Reloads the settings on SIGHUP; without a reader, SIGHUP has no effect.
     pub settings_reader: Option<SettingsReader>,
 }
 
-/// Reads the settings again; the error says what is wrong with them.
+/// Function that reloads the settings. The error describes what is invalid in them.
 pub type SettingsReader = Arc<dyn Fn() -> Result<Settings, String> + Send + Sync>;
 
 impl EntryEnvironment {
-    /// The same with a recorder.
+    /// Sets the recorder.
     pub fn with_recorder(mut self, recorder: Recorder) -> Self {
         self.recorder = Some(recorder);
         self
     }
 
-    /// The same with a way to read the settings again.
+    /// Sets the function that reloads the settings.
     pub fn with_settings_reader(mut self, settings_reader: SettingsReader) -> Self {
         self.settings_reader = Some(settings_reader);
         self
@@ -107,50 +110,59 @@
     pub(crate) discovery: Option<Arc<dyn Discovery>>,
     pub(crate) recorder: Option<Recorder>,
     pub(crate) settings_reader: Option<SettingsReader>,
-    /// Peers to ask while none is known; they may change while the entry runs.
+    /// Addresses to contact while no peer is known; a reload of the settings replaces them.
     pub(crate) peer_seeds: ArcSwap<Vec<SocketAddr>>,
     pub(crate) targets: Mutex<KnownTargets>,
     pub(crate) restarts: Restarts,
-    /// Which requests were under way when targets crashed.
+    /// Fingerprints of the requests in flight when targets crashed.
     pub(crate) crashes: CrashWatch,
     pub(crate) peer_counts: Mutex<PeerCounts>,
     pub(crate) incarnation: Incarnation,
     pub(crate) clock: Clock,
     pub(crate) snapshot: ArcSwap<Snapshot>,
     pub(crate) version: Mutex<VersionInForce>,
-    /// Which versions this entry knows to exist, and why it lacks the newest.
+    /// Versions known to exist, and the reason why the newest is not in force here.
     pub(crate) version_lag: Mutex<VersionLag>,
-    /// What has come of a newer version.
+    /// Received parts of a newer version.
     pub(crate) version_fetch: Mutex<VersionFetch>,
+    /// Deltas between recent versions, sent to peers that hold an older version.
     pub(crate) recent_deltas: Mutex<RecentDeltas>,
-    /// Packages that peers are taking.
+    /// Cache of the packages that peers are fetching.
     pub(crate) packages: Mutex<Packages>,
+    /// Link capacity available for sending versions to peers.
     pub(crate) transfer_budget: Mutex<GivingBudget>,
+    /// Serializes the changes of the snapshot.
     pub(crate) adopt_lock: Mutex<()>,
+    /// Whether a fetch of a version from peers is in progress.
     pub(crate) is_fetching: AtomicBool,
+    /// Whether a fetch of the target list from a peer is in progress.
     pub(crate) is_fetching_list: AtomicBool,
+    /// Whether the last call to the store or the platform succeeded.
     pub(crate) store_answers: AtomicBool,
-    /// Notified when the call that waits for a new configuration may never hear anything.
+    /// Notified when the pending call for a new configuration may never be answered, so that the call
+    /// is replaced by a new one.
     pub(crate) restart_following: event_listener::Event,
-    /// What the store has brought, against what peers have.
+    /// Newest version received from the store, compared with the versions that peers have.
     pub(crate) store_lag: Mutex<StoreLag>,
-    /// Age of this process from which it may ask the store.
+    /// Minimum age of this process before the first call to the store.
     pub(crate) store_access_after: Microseconds,
-    /// How long callers' connections may be idle, in milliseconds.
+    /// Idle timeout of connections from callers, in milliseconds.
     pub(crate) caller_idle_ms: Arc<AtomicU64>,
     pub(crate) ledger: Mutex<Ledger>,
     pub(crate) members: Mutex<Membership>,
     pub(crate) seats: Mutex<SeatKeeper>,
     pub(crate) leaving: Mutex<LeavingNews>,
-    /// Targets that told this entry themselves that they leave, for the others.
+    /// Targets that reported to this entry that they are leaving, to be advertised to peers.
     pub(crate) reported_leaves: Mutex<HeardLeaves>,
+    /// Members that peers advertise and whose row this entry lacks.
     pub(crate) unknown_members: Mutex<BTreeSet<Incarnation>>,
+    /// Notified when a change must be sent to peers without waiting for the next exchange.
     pub(crate) urgent_update: event_listener::Event,
-    /// Whether this entry has known all that it needs to serve.
+    /// Whether this entry has become ready. Remains set when the entry stops.
     pub(crate) is_ready: AtomicBool,
-    /// Notified when it does.
+    /// Notified when this entry becomes ready.
     pub(crate) became_ready: event_listener::Event,
-    /// Set and notified when requests under way must have their final answers.
+    /// Signals that requests in flight must get their final answer.
     pub(crate) stop_signal: StopSignal,
     pub(crate) table: HttpTableService,
     pub(crate) objects: HttpObjectStore,
@@ -165,7 +177,7 @@
 }
 
 impl Entry {
-    /// An entry that listens at these addresses and knows nothing yet.
+    /// An entry that listens at these addresses, without a version in force or known peers.
     pub(crate) fn new(
         settings: Settings,
         environment: EntryEnvironment,
@@ -250,7 +262,7 @@
         self.clock.now()
     }
 
-    /// How often each row of another writer was left out.
+    /// Number of times each row of another writer was ignored.
     pub(crate) fn foreign_rows(&self) -> BTreeMap<ForeignRow, u64> {
         match &self.discovery {
             Some(store) => store.foreign_rows(),
@@ -258,17 +270,18 @@
         }
     }
 
-    /// Whether once-only requests are remembered by their key. Where each request of a caller has an
-    /// id of its own and no key comes, there is nothing to remember.
+    /// Whether once-only requests are recorded by their key. With a store, every request of a caller
+    /// has an id of its own and no request carries a key.
     pub(crate) fn keeps_once_keys(&self) -> bool {
         self.discovery.is_none()
     }
 
+    /// State of this entry as a member.
     pub(crate) fn state(&self) -> MemberState {
         self.members.lock().own().state
     }
 
-    /// This entry as the home of requests that begin now.
+    /// This entry's incarnation and current epoch, as the home of new once-only requests.
     pub(crate) fn home(&self) -> Home {
         Home {
             incarnation: self.incarnation,
@@ -276,28 +289,28 @@
         }
     }
 
-    /// Requests under way.
+    /// Number of requests in flight.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Share of the requests that the entry can hold that are under way.
+    /// Requests in flight, as a share of the maximum number of requests.
     pub(crate) fn utilization(&self) -> f32 {
         self.in_flight() as f32 / self.settings.requests_most as f32
     }
 
-    /// A number for a request, different from all others of this incarnation.
+    /// Next request number; numbers are unique within this incarnation.
     pub(crate) fn request_number(&self) -> u64 {
         self.next_request.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Counts a request in until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub(crate) fn begin_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight(Arc::clone(self))
     }
 
-    /// Reserves memory for a body; `None` when bodies fill what they may.
+    /// Reserves memory for a body; `None` when the total would exceed the limit for all bodies.
     pub(crate) fn reserve_body(self: &Arc<Self>, bytes: u64) -> Option<BodyMemory> {
         let before = self.body_bytes.fetch_add(bytes, Ordering::Relaxed);
         let memory = BodyMemory {
@@ -307,7 +320,7 @@
         (before + bytes <= self.settings.body_memory_bytes).then_some(memory)
     }
 
-    /// Counts a call to the platform and its failure.
+    /// Counts a call to the platform, and its failure if it failed. Returns the outcome unchanged.
     pub(crate) fn count_platform<T>(
         &self,
         outcome: Result<T, PlatformError>,
@@ -321,7 +334,7 @@
     }
 }
 
-/// The word that this entry ends.
+/// Signal that requests in flight must get their final answer. Once triggered, it stays set.
 #[derive(Default)]
 pub(crate) struct StopSignal {
     is_set: AtomicBool,
@@ -329,13 +342,13 @@
 }
 
 impl StopSignal {
-    /// Gives the word.
+    /// Sets the signal and wakes all waiters.
     pub(crate) fn trigger(&self) {
         self.is_set.store(true, Ordering::SeqCst);
         self.event.notify(usize::MAX);
     }
 
-    /// Comes once the word was given.
+    /// Waits until the signal is set.
     pub(crate) async fn wait(&self) {
         let listener = self.event.listen();
         if !self.is_set.load(Ordering::SeqCst) {
@@ -344,7 +357,7 @@
     }
 }
 
-/// A request under way.
+/// Guard that counts a request as in flight.
 pub(crate) struct InFlight(Arc<Entry>);
 
 impl Drop for InFlight {
@@ -353,7 +366,7 @@
     }
 }
 
-/// Memory reserved for a body.
+/// Guard of the memory reserved for a body.
 pub(crate) struct BodyMemory {
     entry: Arc<Entry>,
     bytes: u64,
--- a/crates/pinhaven-entry/src/error.rs
+++ b/crates/pinhaven-entry/src/error.rs
@@ -1,20 +1,20 @@
-//! What can keep an entry from running.
+//! Errors that prevent an entry from running.
 
 use displaydoc::Display as DisplayDoc;
 use pinhaven_types::Help;
 
-/// The step of an entry's life at which it failed.
+/// Step at which an entry failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DisplayDoc)]
 pub enum EntryStep {
     /// listening for callers
     ListenForCallers,
     /// listening for peers
     ListenForPeers,
-    /// listening for news of peers
+    /// listening for datagrams of peers
     ListenForDatagrams,
-    /// listening for questions after readiness
+    /// listening for readiness checks
     ListenForReadiness,
-    /// listening for questions after addresses
+    /// listening for address requests
     ListenForAddresses,
     /// preparing metrics
     PrepareMetrics,
@@ -22,16 +22,16 @@
     ListenForSignals,
 }
 
-/// Why an entry does not run.
+/// Error that prevents an entry from running.
 #[derive(Debug, DisplayDoc)]
 pub enum EntryError {
     /// {step} at {peer}: {message}
     System {
-        /// The step.
+        /// The step that failed.
         step: EntryStep,
-        /// The address or signal.
+        /// The address or the signals that the step concerns.
         peer: String,
-        /// What the system said.
+        /// Error message of the operating system.
         message: String,
     },
 }
--- a/crates/pinhaven-entry/src/lib.rs
+++ b/crates/pinhaven-entry/src/lib.rs
@@ -1,12 +1,13 @@
-//! The entry instance: the driver that joins decisions, callers, targets, peers and the platform.
+//! An entry instance: connects callers, targets, peers and the platform to the decision logic.
 //!
-//! The decisions are made in `pinhaven-decide` and `pinhaven-agree`; this crate carries them out. A
-//! request's path reads one snapshot and atomics. Everything else runs beside it in tasks of its own:
-//! following the bundle history, talking to peers, renewing a seat, probing, reporting metrics.
+//! `pinhaven-decide` and `pinhaven-agree` make the decisions without I/O; this crate carries them out.
+//! A request reads one immutable snapshot and some atomics. All other work runs in background tasks:
+//! following the bundle history, exchanging state with peers, renewing a seat, probing targets and
+//! reporting metrics.
 //!
-//! A request comes in at `callers` and goes on to `request`, or through `once_only` where it carries a key.
-//! Beside that way, `versions`, `targets` and `peers` keep up to date what it reads, and `watch` shows
-//! operators what happens. `wire` spells it all for callers and targets.
+//! A request arrives in `callers` and continues in `request`, or in `once_only` if it carries an
+//! idempotency key. `versions`, `targets` and `peers` update the state that requests read, `watch`
+//! exposes the state to operators, and `wire` defines the messages exchanged with callers and targets.
 
 mod callers;
 mod capacity;
--- a/crates/pinhaven-entry/src/listening.rs
+++ b/crates/pinhaven-entry/src/listening.rs
@@ -1,4 +1,4 @@
-//! Listening at an address.
+//! Binding of HTTP servers to their addresses.
 
 use crate::error::EntryError;
 use crate::error::EntryStep;
@@ -6,11 +6,11 @@
 use pinhaven_runtime::HttpServerSettings;
 use std::net::SocketAddr;
 
-/// Listens at an address.
+/// Binds an HTTP server to an address.
 ///
 /// # Errors
 ///
-/// [`EntryError`] when the address can't be had.
+/// [`EntryError`] with `step` and the address when the address cannot be bound.
 pub(crate) fn listen(
     step: EntryStep,
     address: SocketAddr,
--- a/crates/pinhaven-entry/src/start.rs
+++ b/crates/pinhaven-entry/src/start.rs
@@ -1,4 +1,5 @@
-//! Starting an entry and running it until it is told to stop.
+//! Start of an entry: listens at its addresses, spawns the background tasks and runs until a signal
+//! requests the stop.
 
 use crate::callers::directory::serve_directory;
 use crate::callers::proxy::answer_caller;
@@ -33,19 +34,20 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Connections from peers and operators at a time.
+/// Maximum number of concurrent connections from peers and operators.
 const PEER_CONNECTIONS_MAX: usize = 1_000;
-/// How long a peer's connection may be idle, in milliseconds.
+/// Idle timeout of connections from peers and operators, in milliseconds.
 const PEER_IDLE_MS: u64 = 60_000;
-/// How often the start looks whether a version is in force, in milliseconds.
+/// Interval of the checks whether this entry has become ready, in milliseconds.
 const READY_POLL_MS: u64 = 20;
 
-/// Runs an entry until it gets SIGTERM or SIGINT, then stops it as planned. Returns whether the stop
-/// finished everything in flight.
+/// Runs an entry until SIGTERM or SIGINT, then performs the planned stop. Returns whether all requests
+/// in flight finished before the end of the stop.
 ///
 /// # Errors
 ///
-/// [`EntryError`] when it can't listen.
+/// [`EntryError`] when the entry cannot listen at an address or for signals, or cannot prepare the
+/// metrics.
 pub fn run_entry(settings: Settings, environment: EntryEnvironment) -> Result<bool, EntryError> {
     let threads = settings.worker_threads;
     run_with_threads(threads, run(settings, environment))
@@ -108,7 +110,7 @@
     if let Some(client) = metrics_client {
         spawn(Arc::clone(&entry).report_metrics(client)).detach();
     }
-    // An error among the signals would be the system's; the entry stops as planned then, too.
+    // A failed read of the signals also leads to the planned stop.
     while let Some(Ok(Signal::Hup)) = signals.next().await {
         entry.reload();
     }
@@ -154,7 +156,7 @@
     answer_peer(answers, request).await
 }
 
-/// Starts what runs beside the requests.
+/// Spawns the background tasks of an entry that uses the table service and signed bundles.
 fn spawn_bundle_tasks(entry: &Arc<Entry>) {
     spawn(Arc::clone(entry).follow_bundles()).detach();
     spawn(Arc::clone(entry).gossip()).detach();
@@ -165,9 +167,17 @@
     spawn(Arc::clone(entry).wake_for_crashes()).detach();
 }
 
-/// Starts what runs beside the requests where a store holds everything.
-fn spawn_discovery_tasks(entry: &Arc<Entry>, news_address: SocketAddr) -> Result<(), EntryError> {
-    let socket = news::listen(news_address)?;
+/// Spawns the background tasks of an entry that reads its configuration, targets and peers from one
+/// store.
+///
+/// # Errors
+///
+/// [`EntryError`] when the address for datagrams of peers cannot be bound.
+fn spawn_discovery_tasks(
+    entry: &Arc<Entry>,
+    datagram_address: SocketAddr,
+) -> Result<(), EntryError> {
+    let socket = news::listen(datagram_address)?;
     spawn(Arc::clone(entry).follow_configuration()).detach();
     spawn(Arc::clone(entry).keep_target_list()).detach();
     spawn(Arc::clone(entry).keep_membership()).detach();
@@ -179,7 +189,7 @@
 }
 
 impl Entry {
-    /// Begins epochs of once-only requests for ever.
+    /// Begins a new epoch of once-only requests at each interval.
     async fn advance_epochs(self: Arc<Self>) {
         loop {
             sleep_ms(self.settings.ledger_epoch_ms).await;
@@ -187,7 +197,7 @@
         }
     }
 
-    /// Writes the own row, and again once this entry is ready.
+    /// Writes this entry's member row at the start, and again when the entry becomes ready.
     async fn write_start_rows(self: Arc<Self>) {
         self.write_own_row().await;
         while self.state() == MemberState::Starting {
--- a/crates/pinhaven-entry/src/stop.rs
+++ b/crates/pinhaven-entry/src/stop.rs
@@ -1,9 +1,14 @@
-//! The planned stop.
+//! The planned stop of an entry.
 //!
-//! In this order: the entry tells everyone that it stops, so that no new address answer names it; it
-//! serves on for as long as callers keep older answers; it takes no more connections and lets each
-//! open one finish; and it exits once nothing is in flight. What is still in flight when it may wait no
-//! longer gets its final answer, so that no caller is left with a closed connection.
+//! The stop has four steps:
+//!
+//! 1. The entry advertises to its peers that it is stopping, so that new address answers do not name it.
+//! 2. It continues to accept requests for as long as callers cache older address answers.
+//! 3. It closes its listener and lets each open connection finish its request.
+//! 4. It exits when no request is in flight.
+//!
+//! Requests still in flight at the deadline get a final answer, so that no caller sees a closed
+//! connection instead of an answer.
 
 use crate::entry::Entry;
 use pinhaven_agree::MemberState;
@@ -16,34 +21,35 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Exchanges that the word may take to all entries.
+/// Number of gossip intervals within which the stopping state reaches all entries.
 const EXCHANGES_TO_SPREAD: u64 = 4;
-/// How long peers may take to close their connections.
+/// Maximum wait for peers to close their connections.
 const PEER_WAIT_MAX: Duration = Duration::from_millis(500);
-/// Share of the grace for which requests are still taken. Callers learn of the stop within the time
-/// that they keep an answer; the rest is for the longest requests.
+/// Share of the grace period in which the entry still accepts requests. Callers learn of the stop when
+/// their cached address answer expires; the remaining time is for the longest requests.
 const DRAIN_SHARE: f64 = 0.45;
-/// Time kept between the end of a stop and the end of the grace, in milliseconds.
+/// Margin between the end of the stop and the end of the grace period, in milliseconds.
 const KILL_MARGIN_MS: u64 = 300;
-/// Time for the final answers of requests that can't be waited for, in milliseconds. They have to reach
-/// callers some 10 ms away.
+/// Time for sending the final answers to requests that exceed the deadline, in milliseconds. Callers may
+/// be some 10 ms away.
 const FINAL_ANSWERS_MS: u64 = 150;
-/// How often the requests in flight are counted, in milliseconds.
+/// Interval of the checks for requests in flight and open connections, in milliseconds.
 const IDLE_POLL_MS: u64 = 10;
 
 /// The servers of an entry.
 pub(crate) struct Servers {
-    /// For callers.
+    /// Serves callers.
     pub(crate) callers: Arc<HttpServer>,
-    /// For other entries and operators.
+    /// Serves other entries and operators.
     pub(crate) peers: Arc<HttpServer>,
 }
 
-/// How long each part of a stop may take.
+/// Maximum durations of the steps of a stop.
 struct StopPlan {
-    /// How long requests are still taken, as callers keep older answers, in milliseconds.
+    /// How long the entry still accepts requests while callers cache older address answers, in
+    /// milliseconds.
     drain_ms: u64,
-    /// How long those in flight may then take, in milliseconds.
+    /// Maximum wait for the requests in flight after that, in milliseconds.
     finish_ms: u64,
 }
 
@@ -56,7 +62,7 @@
                 finish_ms: entry.settings.stop_most_ms,
             };
         };
-        // The process is killed when its grace is over, so both parts have to fit into it.
+        // The process is killed at the end of the grace period, so both steps must fit into it.
         let grace_ms = discovery.stop_grace_ms;
         let drain_ms = (grace_ms as f64 * DRAIN_SHARE) as u64;
         Self {
@@ -66,10 +72,10 @@
     }
 }
 
-/// Stops an entry without cutting a request. Returns whether everything was finished in time.
+/// Stops an entry without aborting a request. Returns whether all requests finished before the deadline.
 pub(crate) async fn stop(entry: &Arc<Entry>, servers: &Servers) -> bool {
     entry.record_event("entry", "stopping");
-    log::info!(target: "stop", "Stopping; callers are told to use other entries.");
+    log::info!(target: "stop", "Stopping; address answers now name other entries.");
     entry.members.lock().advance(MemberState::Stopping);
     entry.urgent_update.notify(usize::MAX);
     let plan = StopPlan::new(entry);
@@ -79,16 +85,16 @@
         .is_none()
         .then(|| spawn(async move { writer.write_own_row().await }));
     sleep_ms(plan.drain_ms).await;
-    log::info!(target: "stop", "Finishing {} requests in flight.", entry.in_flight());
+    log::info!(target: "stop", "Listener closed; waiting for {} requests in flight.", entry.in_flight());
     servers.callers.close_gracefully();
     let wait_ms = plan.finish_ms.saturating_sub(FINAL_ANSWERS_MS);
     let is_finished = wait_until_idle(entry, &servers.callers, wait_ms).await;
     if !is_finished {
-        log::warn!(target: "stop", "Giving up {} requests in flight.", entry.in_flight());
+        log::warn!(target: "stop", "Deadline of the stop reached; sending final answers to {} requests in flight.", entry.in_flight());
         entry.stop_signal.trigger();
         wait_until_idle(entry, &servers.callers, FINAL_ANSWERS_MS).await;
     }
-    // Answers to relayed requests may still be on their way to other entries.
+    // Answers to requests relayed by other entries may still be in transfer.
     servers.peers.close_gracefully();
     wait_until_closed(&servers.peers).await;
     if let Some(row_written) = row_written {
@@ -109,13 +115,13 @@
     }
 }
 
-async fn wait_until_idle(entry: &Entry, server: &HttpServer, most_ms: u64) -> bool {
-    let most = Duration::from_millis(most_ms);
+async fn wait_until_idle(entry: &Entry, server: &HttpServer, wait_max_ms: u64) -> bool {
+    let wait_max = Duration::from_millis(wait_max_ms);
     let began = Instant::now();
-    while began.elapsed() < most {
-        // A connection may have come before the server has noticed that it is to close.
-        let may_get_more = server.is_accepting() || server.open_connections() > 0;
-        if entry.in_flight() == 0 && !may_get_more {
+    while began.elapsed() < wait_max {
+        // The server may have accepted a connection before it noticed the request to close.
+        let may_receive_more = server.is_accepting() || server.open_connections() > 0;
+        if entry.in_flight() == 0 && !may_receive_more {
             return true;
         }
         sleep_ms(IDLE_POLL_MS).await;
