--- a/crates/pinhaven-entry/src/stop.rs
+++ b/crates/pinhaven-entry/src/stop.rs
@@ -90,7 +90,7 @@
     let wait_ms = plan.finish_ms.saturating_sub(FINAL_ANSWERS_MS);
     let is_finished = wait_until_idle(entry, &servers.callers, wait_ms).await;
     if !is_finished {
-        log::warn!(target: "stop", "Deadline of the stop reached; sending final answers to {} requests in flight.", entry.in_flight());
+        log::warn!(target: "stop", "Deadline reached; ending {} requests in flight.", entry.in_flight());
         entry.stop_signal.trigger();
         wait_until_idle(entry, &servers.callers, FINAL_ANSWERS_MS).await;
     }
--- a/crates/pinhaven-entry/src/versions/bundles.rs
+++ b/crates/pinhaven-entry/src/versions/bundles.rs
@@ -1,8 +1,8 @@
-//! Following the bundle history.
+//! Following of the bundle history.
 //!
-//! A few readers in each failure domain look at the head at the platform; the others hear of new
-//! versions from their peers. The body comes from the object store or from a peer, and is verified
-//! here whichever way it came.
+//! A few readers in each failure domain poll the head at the platform; the other entries learn of new
+//! versions from their peers. The body comes from the object store or from a peer, and is verified here
+//! in both cases.
 
 use crate::entry::Entry;
 use crate::versions::snapshot::Snapshot;
@@ -26,13 +26,13 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Entries of a failure domain that look at the head often.
+/// Number of entries of a failure domain that poll the head at each interval.
 const HEAD_READERS: usize = 2;
-/// The others look this many times less often.
+/// Factor by which the other entries poll the head less often.
 const HEAD_POLL_SLOW_FACTOR: u64 = 10;
 
 impl Entry {
-    /// Looks at the head for ever, and makes this entry ready once a version is in force.
+    /// Polls the head and puts new versions in force. Runs until the process exits.
     pub(crate) async fn follow_bundles(self: Arc<Self>) {
         let mut polls: u64 = 0;
         loop {
@@ -49,14 +49,15 @@
         }
     }
 
-    /// Returns whether the platform's head is in force here now.
+    /// Reads the head and fetches its version. Returns whether that version, or a newer one, is in force
+    /// afterwards.
     async fn poll_head(self: &Arc<Self>) -> bool {
         let read = self.table.read(BUNDLE_HEAD).await;
         let row = match self.count_platform(read) {
             Ok(Some(row)) => row,
             Ok(None) => return false,
             Err(error) => {
-                log::warn!(target: "bundle", "The head can't be read: {error}.");
+                log::warn!(target: "bundle", "The head of the bundle history cannot be read: {error}.");
                 return false;
             }
         };
@@ -74,6 +75,8 @@
         self.fetch_body(head).await
     }
 
+    /// Fetches the version of `head` as a delta, as a whole body or from peers. Returns whether that
+    /// version, or a newer one, is in force afterwards.
     async fn fetch_body(self: &Arc<Self>, head: BundleHead) -> bool {
         if self.fetch_delta(&head).await {
             return true;
@@ -86,14 +89,15 @@
         self.adopt(move |entry| match CanonicalBundle::from_bytes(&bytes) {
             Ok(body) => entry.accept_offer(Offer::new(head, body)),
             Err(error) => {
-                log::error!(target: "bundle", "The body of {} is no bundle: {error}.", head.digest);
+                log::error!(target: "bundle", "The body of {} is not a valid bundle: {error}.", head.digest);
                 false
             }
         })
         .await
     }
 
-    /// Takes the version that follows the one in force by its difference, if that is there.
+    /// Fetches the delta from the version in force to `head`, if `head` is the next version. Returns whether
+    /// the version of `head` is in force afterwards.
     async fn fetch_delta(self: &Arc<Self>, head: &BundleHead) -> bool {
         if self.version.lock().version().next() != head.version {
             return false;
@@ -112,26 +116,26 @@
         .await
     }
 
-    /// Does the work of taking a version on a thread of its own, as it takes long for a large bundle
-    /// and would hold requests up. One at a time, so that the same work is not done twice.
+    /// Runs the processing of a version on a separate thread, because it takes long for a large bundle and
+    /// would delay requests. Only one call runs at a time, so that no version is processed twice.
     pub(crate) async fn adopt(
         self: &Arc<Self>,
         work: impl FnOnce(&Self) -> bool + Send + 'static,
     ) -> bool {
         if self.discovery.is_some() {
-            // A configuration without targets is small, and a thread for it would cost memory.
-            let _turn = self.adopt_lock.lock();
+            // A configuration without targets is small; a thread for it would only cost memory.
+            let _guard = self.adopt_lock.lock();
             return work(self);
         }
         let entry = Arc::clone(self);
         blocking::unblock(move || {
-            let _turn = entry.adopt_lock.lock();
+            let _guard = entry.adopt_lock.lock();
             work(&entry)
         })
         .await
     }
 
-    /// Asks all known peers and seeds; returns the version in force after that.
+    /// Fetches newer versions from all known peers and seeds. Returns the version in force afterwards.
     async fn ask_all_peers(self: &Arc<Self>) -> BundleVersion {
         for peer in self.known_peer_addresses() {
             self.fetch_from(peer).await;
@@ -139,14 +143,15 @@
         self.version.lock().version()
     }
 
-    /// Learns the version in force from peers while the platform is down. All that are known are
-    /// asked, so that the newest of theirs is taken.
+    /// Obtains the version in force from peers while the platform is unavailable. All known peers are
+    /// asked, because any of them may hold the newest version.
     async fn ask_peers_for_start(self: &Arc<Self>) {
         if self.ask_all_peers().await > BundleVersion::NONE {
-            log::info!(target: "bundle", "The version in force was learned from peers.");
+            log::info!(target: "bundle", "The version in force was fetched from peers.");
         }
     }
 
+    /// Addresses of the known peers and the seeds, without this entry's own address.
     pub(crate) fn known_peer_addresses(&self) -> Vec<SocketAddr> {
         let members = self.members.lock();
         let own = members.own().peer_address;
@@ -163,31 +168,36 @@
         addresses
     }
 
-    /// Puts a version from a peer in force, if it is what it says. Only [`Self::adopt`] may call this.
+    /// Verifies a version from a peer and puts it in force. Returns whether that version, or a newer one,
+    /// is in force afterwards. Call only within [`Self::adopt`].
     pub(crate) fn accept_from_peer(&self, head: BundleHead, body: CanonicalBundle) -> bool {
         if self.discovery.is_none() {
             return self.accept_offer(Offer::new(head, body));
         }
-        // The store acknowledged it to the peer; a body that came whole is the one it acknowledged.
+        // The store acknowledged the version to the peer; a body with the digest of the head is the
+        // acknowledged one.
         if body.digest() != head.digest {
             self.counters.add(Count::BundleRefused);
-            log::error!(target: "bundle", "Version {} came altered from a peer.", head.version);
+            log::error!(target: "bundle", "Version {} from a peer does not match its digest.", head.version);
             return false;
         }
         self.accept_acknowledged(body)
     }
 
-    /// Puts a version in force that the store has acknowledged to an operator.
+    /// Puts a version in force that the store has acknowledged to an operator. Returns whether that
+    /// version, or a newer one, is in force afterwards.
     pub(crate) fn accept_acknowledged(&self, body: CanonicalBundle) -> bool {
         match Offer::acknowledged(body) {
             Ok(offer) => self.put_in_force(offer),
             Err(error) => {
-                log::error!(target: "bundle", "An acknowledged version can't be named: {error}.");
+                log::error!(target: "bundle", "The head of an acknowledged version cannot be built: {error}.");
                 false
             }
         }
     }
 
+    /// Applies deltas to the version in force; `None` when they do not apply or do not yield the digest of
+    /// `head`.
     pub(crate) fn apply_deltas(
         &self,
         head: &BundleHead,
@@ -197,14 +207,14 @@
         match BundleDelta::apply_all(deltas, snapshot.bundle(), head.digest) {
             Ok(body) => Some(body),
             Err(error) => {
-                log::warn!(target: "bundle", "A difference can't be used: {error}.");
+                log::warn!(target: "bundle", "A delta cannot be applied: {error}.");
                 None
             }
         }
     }
 
-    /// Verifies a version and puts it in force. Returns whether it, or a newer one, is now. Only
-    /// [`Self::adopt`] may call this, so that versions come one at a time.
+    /// Verifies a version and puts it in force. Returns whether that version, or a newer one, is in force
+    /// afterwards. Call only within [`Self::adopt`], which processes one version at a time.
     fn accept_offer(&self, offer: Offer<pinhaven_agree::Offered>) -> bool {
         let number = offer.head().version;
         if number <= self.version.lock().version() {
@@ -222,7 +232,8 @@
         self.put_in_force(verified)
     }
 
-    /// Puts a verified version in force. Returns whether it, or a newer one, is now.
+    /// Puts a verified version in force. Returns whether that version, or a newer one, is in force
+    /// afterwards.
     fn put_in_force(&self, verified: Offer<Verified>) -> bool {
         let number = verified.head().version;
         if number <= self.version.lock().version() {
@@ -258,7 +269,7 @@
         true
     }
 
-    /// The snapshot of a version with the targets that are known now.
+    /// Builds the snapshot of a version with the targets known at present.
     fn build_snapshot(&self, body: Arc<CanonicalBundle>, previous: &Snapshot) -> Snapshot {
         let listed = self.targets.lock().targets();
         let context = SnapshotContext {
@@ -268,10 +279,11 @@
         Snapshot::new(body, context, previous, self.now())
     }
 
-    /// Brings the snapshot up to date with the list of targets.
+    /// Updates the snapshot after a change of the target list.
     pub(crate) fn apply_target_changes(&self) {
-        // A version that is being taken meanwhile may have looked at the list before it changed.
-        let _turn = self.adopt_lock.lock();
+        // Without the lock, a version that is being put in force could overwrite this snapshot with one
+        // built from the old target list.
+        let _guard = self.adopt_lock.lock();
         let previous = self.snapshot.load_full();
         if let Some(body) = previous.body() {
             let next = self.build_snapshot(Arc::clone(body), &previous);
@@ -281,7 +293,8 @@
         self.become_ready();
     }
 
-    /// Makes this entry ready once it knows all that it needs.
+    /// Makes this entry ready if it is starting, a version is in force and, with a store, the targets are
+    /// known.
     fn become_ready(&self) {
         let knows_version = self.version.lock().version() > BundleVersion::NONE;
         let knows_targets = self.discovery.is_none() || self.targets.lock().is_known();
--- a/crates/pinhaven-entry/src/versions/discovered.rs
+++ b/crates/pinhaven-entry/src/versions/discovered.rs
@@ -1,7 +1,8 @@
-//! Following the configuration where one store holds it, the targets and the peers.
+//! Following of the configuration in a store that also holds the targets and the peers.
 //!
-//! Few entries speak with the store; the others take what those have. An entry that the store turns
-//! away lives on what its peers know, and one that has no peers asks the store itself.
+//! Only a few entries, the delegates, use the store directly; the others fetch new versions from peers.
+//! An entry whose calls to the store fail relies on its peers, and an entry without live peers uses the
+//! store directly.
 
 use crate::entry::Entry;
 use crate::versions::store_pace::FIRST_RANK;
@@ -21,32 +22,34 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How long the store may take to bring a configuration that a peer has already, in milliseconds.
+/// Time that the store has to deliver a configuration before it is fetched from the peer that advertised
+/// it, in milliseconds.
 const STORE_HEAD_START_MS: u64 = 200;
-/// How much later than a peer an entry may learn of a version from the store before its own call there
-/// counts as dead, in milliseconds. A slow store takes up to 400.
+/// Maximum time between the receipt of a version from a peer and its receipt from the store before the
+/// pending call to the store counts as dead, in milliseconds. A slow store takes up to 400 ms.
 const STORE_LAG_MAX_MS: u64 = 1_500;
-/// Age until which an entry that others speak with the store for waits for what they have. When all
-/// start together, those have it after a few hundred milliseconds.
+/// Age up to which an entry that is not a delegate obtains missing state only from peers. When all
+/// entries start together, the delegates have the state after a few hundred milliseconds.
 const PEERS_ONLY_AGE: Microseconds = Microseconds::from_ms(700);
-/// Time between two looks of an entry that does not follow the configuration, as others do for it, while
-/// there is none, in milliseconds.
+/// Interval at which an entry that is not a delegate reads the store while there is no configuration, in
+/// milliseconds.
 const ABSENT_POLL_MS: u64 = 4_000;
-/// How often an entry that does not follow the configuration looks whether it should, in milliseconds.
-/// The others notice within 2 s that one that did is gone.
+/// Interval of the checks whether an entry should start to use the store directly, in milliseconds. The
+/// loss of a delegate is noticed within 2 s.
 pub(crate) const DELEGATE_POLL_MS: u64 = 100;
 
-/// A change that comes within this time of the question for it was there before. The store takes 4 ms for an answer;
-/// one that is slow, for which there is no hurry, hundreds.
+/// Maximum wait for an answer of the store whose change existed before the call. The store answers such
+/// a call in about 4 ms. A slow store takes hundreds of milliseconds, and its calls need no pause.
 const PRIOR_CHANGE_WAIT_MAX: Duration = Duration::from_millis(100);
 
 impl Entry {
-    /// The store that holds everything, if there is one.
+    /// The store of the configuration, the targets and the peers, if there is one.
     pub(crate) fn store(&self) -> Option<Arc<dyn Discovery>> {
         self.discovery.clone()
     }
 
-    /// Takes each new configuration, for ever.
+    /// Puts each new configuration of the store in force while this entry uses the store directly. Runs
+    /// until the process exits; returns at once without a store.
     pub(crate) async fn follow_configuration(self: Arc<Self>) {
         let Some(store) = self.store() else {
             return;
@@ -56,38 +59,39 @@
         loop {
             let is_in_force = self.version.lock().version() > BundleVersion::NONE;
             if !self.uses_store(is_in_force) {
-                // What changes until this entry follows again is learned by reading it anew.
+                // Without a position, the next call reads the current configuration, which includes the
+                // changes made in the meantime.
                 position = None;
                 sleep_ms(DELEGATE_POLL_MS).await;
                 continue;
             }
-            let anew = self.restart_following.listen();
+            let restart = self.restart_following.listen();
             let next = async { Some(store.next_configuration(position).await) };
-            let outdated = async {
-                anew.await;
+            let restarted = async {
+                restart.await;
                 None
             };
-            let Some(news) = futures_lite::future::or(next, outdated).await else {
+            let Some(update) = futures_lite::future::or(next, restarted).await else {
                 position = None;
                 continue;
             };
-            match self.count_platform(news) {
-                Ok(news) => {
+            match self.count_platform(update) {
+                Ok(update) => {
                     pause = RetryPause::default();
-                    position = Some(news.position);
-                    let is_there = news.bundle.is_some();
-                    let times = news.times;
-                    self.accept_configuration(news).await;
+                    position = Some(update.position);
+                    let has_configuration = update.bundle.is_some();
+                    let times = update.times;
+                    self.accept_configuration(update).await;
                     self.pause_for_link_share(times).await;
-                    if !is_there && !self.uses_store(true) {
-                        // Nobody has one yet; those that follow will hear of the first.
+                    if !has_configuration && !self.uses_store(true) {
+                        // There is no configuration yet; the delegates advertise the first one.
                         position = None;
                         sleep_ms(ABSENT_POLL_MS).await;
                     }
                 }
                 Err(error) => {
-                    log::warn!(target: "bundle", "The configuration can't be read: {error}.");
-                    // What was missed meanwhile may be gone from the history.
+                    log::warn!(target: "bundle", "The configuration cannot be read from the store: {error}.");
+                    // Changes missed in the meantime may have been removed from the history.
                     position = None;
                     pause_before_retry(&mut pause, FIRST_RANK).await;
                 }
@@ -95,7 +99,8 @@
         }
     }
 
-    /// Waits after changes that came slowly one after the other, so that peers have a part of the link, too.
+    /// Waits after a configuration that existed before the call and was transferred slowly, so that
+    /// transfers to and from peers get a share of the link.
     async fn pause_for_link_share(&self, times: Option<AnswerTimes>) {
         let Some(AnswerTimes { waited, coming }) = times else {
             return;
@@ -105,15 +110,16 @@
         if pause > Microseconds::ZERO {
             log::info!(
                 target: "bundle",
-                "Versions come faster than the link carries them from the store; it is asked again after {:.0} ms.",
+                "Versions change faster than the link transfers them; next call to the store in {:.0} ms.",
                 pause.as_ms()
             );
             sleep_ms(pause.count() / 1_000).await;
         }
     }
 
-    async fn accept_configuration(self: &Arc<Self>, news: ConfigurationNews) {
-        let Some(bundle) = news.bundle else {
+    /// Puts a configuration from the store in force if it is newer than the version in force.
+    async fn accept_configuration(self: &Arc<Self>, update: ConfigurationNews) {
+        let Some(bundle) = update.bundle else {
             return;
         };
         self.store_lag.lock().take(bundle.version);
@@ -127,9 +133,10 @@
             .await;
     }
 
-    /// Whether this entry speaks with the store itself: as one of the few that do for all, or as there
-    /// is nothing to be had from peers. What it `has` already it may keep taking from them.
-    pub(crate) fn uses_store(&self, has: bool) -> bool {
+    /// Whether this entry uses the store directly: as a delegate, or because it has no live peers, or
+    /// because peers have not provided the state in time. `has_state` says whether this entry holds some
+    /// version of the state, in which case it may wait for newer versions from peers.
+    pub(crate) fn uses_store(&self, has_state: bool) -> bool {
         let now = self.now();
         let age = self.clock.age();
         if age < self.store_access_after {
@@ -137,11 +144,11 @@
         }
         let members = self.members.lock();
         let is_alone = members.live_peers(now).is_empty();
-        is_alone || members.is_delegate(now) || (!has && age >= PEERS_ONLY_AGE)
+        is_alone || members.is_delegate(now) || (!has_state && age >= PEERS_ONLY_AGE)
     }
 
-    /// Fetches a configuration that a peer has and this entry lacks, unless the store brings it in
-    /// the meantime.
+    /// Records that a peer has `version`. If this entry lacks the version, starts a task that fetches it
+    /// from the peer, unless the store delivers it first.
     pub(crate) fn learn_version(self: &Arc<Self>, peer: SocketAddr, version: BundleVersion) {
         if version <= self.version.lock().version() {
             return;
@@ -166,15 +173,16 @@
         .detach();
     }
 
-    /// Follows the configuration anew if the store does not bring a version that a peer has.
+    /// Restarts the following of the configuration if the store does not deliver a version that a peer
+    /// has: the pending call may be dead without an error.
     async fn watch_store_for(&self, version: BundleVersion) {
         sleep_ms(STORE_LAG_MAX_MS).await;
-        let is_coming = self
+        let is_receiving = self
             .store()
             .is_some_and(|store| store.is_receiving_configuration());
-        // An answer that comes slowly over a small link would begin anew.
-        if self.store_lag.lock().lacks(version) && !is_coming {
-            log::info!(target: "bundle", "The store has not brought version {version}; it is asked anew.");
+        // A restart would abort an answer that is being transferred slowly over a small link.
+        if self.store_lag.lock().lacks(version) && !is_receiving {
+            log::info!(target: "bundle", "The store has not delivered version {version}; restarting the call.");
             self.restart_following.notify(usize::MAX);
         }
     }
--- a/crates/pinhaven-entry/src/versions/fetch.rs
+++ b/crates/pinhaven-entry/src/versions/fetch.rs
@@ -1,7 +1,8 @@
-//! Getting a newer version from peers that have it.
+//! Fetching of a newer version from peers that have it.
 //!
-//! One peer is asked at a time, part by part, until the package is here or the peer fails; then another that
-//! holds the version goes on. What has come is kept between tries, so that each try ends nearer to the version.
+//! The entry requests a package from one peer at a time, part by part, until the package is complete or
+//! the peer fails; another peer that holds the version then continues. Received parts are retained between
+//! attempts, so that repeated failures still make progress.
 
 use crate::entry::Entry;
 use crate::watch::counters::Count;
@@ -28,61 +29,65 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Peers that are asked one after the other in a round.
+/// Maximum number of peers tried in a round.
 const PEERS_TRIED_MAX: usize = 3;
-/// Rounds in which all were busy before the next news of a version starts anew.
+/// Maximum number of rounds in which all tried peers are busy. After that, the next advertised version
+/// starts a new fetch.
 const ROUNDS_MAX: u32 = 20;
-/// How often a package may be begun anew at one peer. It is when the peer has another one than was begun.
+/// Maximum number of restarts of a package at one peer. A fetch restarts when the peer serves another
+/// package than the partially fetched one.
 const RESTARTS_MAX: u32 = 2;
 
-/// How attempt a peer ended.
+/// Outcome of a fetch from one peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Outcome {
     /// A newer version is in force.
     InForce,
-    /// The peer has one and no room to give it for so long.
+    /// The peer has a newer version and no capacity to serve it for this time.
     Busy(Duration),
-    /// The peer has none, or failed.
+    /// The peer has no newer version, or failed.
     TryAnother,
 }
 
-/// What a peer said.
+/// Reply of a peer to a request for a part.
 enum Reply {
     NothingNewer,
     Busy(Duration),
     Part(Part),
-    /// From a peer that knows no parts.
+    /// A whole version or deltas from a peer that runs an older release, which does not serve
+    /// parts.
     Unpacked(Box<UnpackedPackage>),
+    /// A reply that cannot be decoded, with the reason.
     Unreadable(&'static str),
 }
 
-/// What to do after a reply.
+/// Next step of a fetch after a reply.
 enum NextStep {
-    Ask,
+    RequestPart,
     Adopt(ReceivedVersion),
-    Leave(Outcome),
+    End(Outcome),
 }
 
-/// A version that has come whole.
+/// A completely received version.
 enum ReceivedVersion {
     Package(Vec<u8>),
     Unpacked(Box<UnpackedPackage>),
 }
 
-/// Asking one peer.
+/// State of a fetch from one peer.
 struct PeerAttempt {
     peer: SocketAddr,
     restarts: u32,
 }
 
-/// The one fetch that may be under way; others may begin once this is dropped.
+/// Guard of the fetch in progress; at most one exists per entry.
 struct FetchGuard(Arc<Entry>);
 
 impl FetchGuard {
-    /// Begins, unless one is under way.
+    /// Begins a fetch; `None` while another fetch is in progress.
     fn begin(entry: &Arc<Entry>) -> Option<Self> {
-        let is_under_way = entry.is_fetching.swap(true, Ordering::Acquire);
-        (!is_under_way).then(|| Self(Arc::clone(entry)))
+        let is_in_progress = entry.is_fetching.swap(true, Ordering::Acquire);
+        (!is_in_progress).then(|| Self(Arc::clone(entry)))
     }
 }
 
@@ -93,50 +98,51 @@
 }
 
 impl Entry {
-    /// Takes a newer version from a peer or from others that have it. While one is being taken this does
-    /// nothing; the next news shows whether there is still something to take.
+    /// Fetches newer versions, first from `peer` and then from others that have them. Does nothing while
+    /// another fetch is in progress; the next advertised version starts a fetch if it is still missing.
     pub(crate) async fn fetch_from(self: &Arc<Self>, peer: SocketAddr) {
         let Some(_fetch_guard) = FetchGuard::begin(self) else {
             return;
         };
         let mut first = Some(peer);
         for _ in 0..ROUNDS_MAX {
-            let Some(away) = self.run_round(first.take()).await else {
+            let Some(retry_after) = self.run_round(first.take()).await else {
                 return;
             };
-            // Askers that were sent away at the same time come back at different ones.
-            let pause = away.mul_f64(1.0 + fastrand::f64());
+            // The random factor spreads the retries of entries that were refused at the same time.
+            let pause = retry_after.mul_f64(1.0 + fastrand::f64());
             sleep_ms(pause.as_millis() as u64).await;
         }
     }
 
-    /// Asks a few peers one after the other. Returns how long to stay away when the last ones that have what is
-    /// missing were busy.
+    /// Fetches from a few peers one after the other. Returns the time after which to retry when, since the
+    /// last version put in force, a tried peer was busy.
     async fn run_round(self: &Arc<Self>, first: Option<SocketAddr>) -> Option<Duration> {
         let mut tried = Vec::new();
-        let mut away: Option<Duration> = None;
+        let mut retry_after: Option<Duration> = None;
         let mut next = first.or_else(|| self.next_holder(&tried));
         while let Some(peer) = next {
             match self.fetch_package(peer).await {
                 Outcome::InForce => {
                     tried.clear();
-                    away = None;
+                    retry_after = None;
                 }
                 Outcome::Busy(time) => {
                     tried.push(peer);
-                    away = Some(away.map_or(time, |least| least.min(time)));
+                    retry_after = Some(retry_after.map_or(time, |shortest| shortest.min(time)));
                 }
                 Outcome::TryAnother => tried.push(peer),
             }
             next = self.next_holder(&tried);
         }
-        if away.is_some() {
+        if retry_after.is_some() {
             self.miss_version("all that were asked are busy");
         }
-        away
+        retry_after
     }
 
-    /// Another peer that has what this entry lacks.
+    /// A peer not tried yet that has a version newer than the one in force; `None` when no version is
+    /// missing or enough peers were tried.
     fn next_holder(&self, tried: &[SocketAddr]) -> Option<SocketAddr> {
         let held = self.version.lock().version();
         if tried.len() >= PEERS_TRIED_MAX || self.version_lag.lock().known() <= held {
@@ -146,7 +152,7 @@
         members.find_holder(held.next(), tried, fastrand::u64(..), self.now())
     }
 
-    /// Takes a package from a peer, part by part, and what it leads to.
+    /// Fetches a package from a peer, part by part, and puts its version in force.
     async fn fetch_package(self: &Arc<Self>, peer: SocketAddr) -> Outcome {
         let mut attempt = PeerAttempt { peer, restarts: 0 };
         loop {
@@ -159,9 +165,9 @@
                 }
             };
             match next {
-                NextStep::Ask => {}
+                NextStep::RequestPart => {}
                 NextStep::Adopt(received) => return self.adopt_received(peer, received).await,
-                NextStep::Leave(outcome) => return outcome,
+                NextStep::End(outcome) => return outcome,
             }
         }
     }
@@ -187,11 +193,11 @@
     ) -> NextStep {
         let peer = attempt.peer;
         match reply {
-            Reply::NothingNewer => NextStep::Leave(Outcome::TryAnother),
-            Reply::Busy(away) => NextStep::Leave(Outcome::Busy(away)),
+            Reply::NothingNewer => NextStep::End(Outcome::TryAnother),
+            Reply::Busy(retry_after) => NextStep::End(Outcome::Busy(retry_after)),
             Reply::Part(part) => self.handle_part(attempt, request, part),
             Reply::Unpacked(unpacked) => NextStep::Adopt(ReceivedVersion::Unpacked(unpacked)),
-            Reply::Unreadable(why) => self.abandon_peer(&format!("{why}, from {peer}")),
+            Reply::Unreadable(reason) => self.abandon_peer(&format!("{reason}, from {peer}")),
         }
     }
 
@@ -202,16 +208,16 @@
             return self.abandon_peer(&format!("{peer} gives another package each time"));
         }
         match self.version_fetch.lock().record_part(request, part) {
-            Fetched::More => NextStep::Ask,
+            Fetched::More => NextStep::RequestPart,
             Fetched::Package(bytes) => NextStep::Adopt(ReceivedVersion::Package(bytes)),
             Fetched::Rejected => self.abandon_peer(&format!("a part from {peer} fits nothing")),
         }
     }
 
-    /// Leaves a peer that failed.
-    fn abandon_peer(&self, why: &str) -> NextStep {
-        self.miss_version(why);
-        NextStep::Leave(Outcome::TryAnother)
+    /// Records the failure of a peer and ends the fetch from it.
+    fn abandon_peer(&self, reason: &str) -> NextStep {
+        self.miss_version(reason);
+        NextStep::End(Outcome::TryAnother)
     }
 
     async fn adopt_received(
@@ -227,14 +233,14 @@
             self.miss_version(&format!("what {peer} gave can't be put in force"));
             return Outcome::TryAnother;
         }
-        // A peer that gives what is here already must not be asked for it again and again.
+        // A peer that serves only versions already in force must not be tried again in this round.
         match self.version.lock().version() > before {
             true => Outcome::InForce,
             false => Outcome::TryAnother,
         }
     }
 
-    /// Only [`Self::adopt`] may call this.
+    /// Unpacks a received version and puts it in force. Call only within [`Self::adopt`].
     fn accept_received(&self, received: ReceivedVersion) -> bool {
         let unpacked = match received {
             ReceivedVersion::Unpacked(unpacked) => Ok(*unpacked),
@@ -248,7 +254,7 @@
         match unpacked {
             Ok(unpacked) => self.accept_unpacked(unpacked),
             Err(error) => {
-                log::error!(target: "bundle", "A package can't be used: {error}.");
+                log::error!(target: "bundle", "A package cannot be unpacked: {error}.");
                 false
             }
         }
@@ -268,16 +274,19 @@
         is_accepted
     }
 
+    /// The body of a received version: the whole body as received, or the deltas applied to the version in
+    /// force.
     fn resolve_body(&self, head: &BundleHead, content: PackageContent) -> Option<CanonicalBundle> {
         let deltas = match content {
             PackageContent::Whole(body) => return Some(body),
             PackageContent::Differences(deltas) => deltas,
         };
         let held = self.version.lock().version();
-        let leads_on = deltas.first().is_some_and(|delta| delta.from == held);
+        let starts_here = deltas.first().is_some_and(|delta| delta.from == held);
         let body = self.apply_deltas(head, deltas);
-        // Differences that come late, when the store has brought a version, are no fault of theirs.
-        if body.is_none() && leads_on {
+        // Deltas that do not start at the version in force are only late, for example after the store has
+        // delivered a version; deltas that start there and fail are rejected.
+        if body.is_none() && starts_here {
             self.version_fetch.lock().reject_differences();
         }
         body
@@ -297,8 +306,8 @@
 
 fn parse_reply(response: FetchBundleResponse) -> Reply {
     if response.busy_ms > 0 {
-        let away = Microseconds::from_ms(u64::from(response.busy_ms)).min(AWAY_MOST);
-        return Reply::Busy(Duration::from_micros(away.count()));
+        let retry_after = Microseconds::from_ms(u64::from(response.busy_ms)).min(AWAY_MOST);
+        return Reply::Busy(Duration::from_micros(retry_after.count()));
     }
     let unpacked = |content: PackageContent| match serde_json::from_slice(&response.head) {
         Ok(head) => Reply::Unpacked(Box::new(UnpackedPackage { head, content })),
--- a/crates/pinhaven-entry/src/versions/mod.rs
+++ b/crates/pinhaven-entry/src/versions/mod.rs
@@ -1,7 +1,7 @@
-//! The version in force, and how a new one comes in.
+//! The version in force, and the ways in which new versions arrive.
 //!
-//! Bundles come in from the platform or a peer; a [`Snapshot`](snapshot::Snapshot) goes out, which a request reads as a
-//! whole. Run as tasks by `start`.
+//! The input are bundles from the platform, the store or a peer; the output is a [`Snapshot`](snapshot::Snapshot),
+//! which each request reads as a whole. `start` spawns the tasks.
 
 pub(crate) mod bundles;
 pub(crate) mod discovered;
--- a/crates/pinhaven-entry/src/versions/serve.rs
+++ b/crates/pinhaven-entry/src/versions/serve.rs
@@ -1,4 +1,8 @@
-//! Giving the version in force to peers that lack it, part by part.
+//! Serving of the version in force to peers that lack it.
+//!
+//! A peer requests a package part by part. The package contains the deltas from the version that the peer
+//! holds, if they are available and smaller than the whole body, or else the whole body. A budget limits
+//! the share of the link used for packages; a peer that exceeds the budget is told to retry later.
 
 use crate::entry::Entry;
 use crate::watch::counters::Count;
@@ -18,7 +22,8 @@
 use std::sync::Arc;
 
 impl Entry {
-    /// The answer to a peer that asks for a newer version than it holds.
+    /// Answers a peer that requests a version newer than the one it holds. The answer is empty when there
+    /// is no newer version.
     pub(crate) fn serve_version(&self, request: &FetchBundleRequest) -> FetchBundleResponse {
         let held = BundleVersion::new(request.held_version);
         let newer = {
@@ -35,21 +40,23 @@
         match self.select_package(request, held, &offer) {
             Ok(package) => self.serve_part(request, &package),
             Err(error) => {
-                log::error!(target: "bundle", "Version {} can't be given: {error}.", offer.head().version);
+                log::error!(target: "bundle", "Version {} cannot be packed for a peer: {error}.", offer.head().version);
                 FetchBundleResponse::default()
             }
         }
     }
 
-    /// The package that the peer has begun, if it is still here, or else the one that it needs.
+    /// The package that the peer has partially fetched, if it is still cached, or else a package for the
+    /// version that the peer holds.
     fn select_package(
         &self,
         request: &FetchBundleRequest,
         held: BundleVersion,
         offer: &Offer<Verified>,
     ) -> Result<Arc<BundlePackage>, PackageError> {
-        let begun = Digest::from_bytes(&request.package);
-        if let Some(package) = begun.and_then(|digest| self.packages.lock().find_by_digest(digest))
+        let partial = Digest::from_bytes(&request.package);
+        if let Some(package) =
+            partial.and_then(|digest| self.packages.lock().find_by_digest(digest))
         {
             return Ok(package);
         }
@@ -74,7 +81,8 @@
         Ok(package)
     }
 
-    /// The differences from a version on, if they are here and less than the whole.
+    /// The deltas from `held` to the offered version, if they are available and not larger than the whole
+    /// body.
     fn differences_to(
         &self,
         offer: &Offer<Verified>,
@@ -82,29 +90,31 @@
     ) -> Option<Vec<BundleDelta>> {
         let deltas = self.recent_deltas.lock();
         let differences = deltas.since(held)?;
-        let leads_there = differences.last().map(|last| last.to) == Some(offer.head().version);
-        (leads_there && are_smaller(&differences, offer))
+        let reaches_offer = differences.last().map(|last| last.to) == Some(offer.head().version);
+        (reaches_offer && are_smaller(&differences, offer))
             .then(|| differences.into_iter().cloned().collect())
     }
 
+    /// The part of `package` at the requested offset, or the time after which the peer may retry. The
+    /// transfer budget is charged for the whole package with its first part.
     fn serve_part(
         &self,
         request: &FetchBundleRequest,
         package: &BundlePackage,
     ) -> FetchBundleResponse {
-        let has_begun = request.package == package.digest().as_bytes();
-        let offset = if has_begun { request.offset } else { 0 };
+        let is_continuation = request.package == package.digest().as_bytes();
+        let offset = if is_continuation { request.offset } else { 0 };
         let all = package.bytes();
         if offset == 0
-            && let Err(away) = self.transfer_budget.lock().begin(all.len(), self.now())
+            && let Err(retry_after) = self.transfer_budget.lock().begin(all.len(), self.now())
         {
             return FetchBundleResponse {
-                busy_ms: away.as_ms().ceil() as u32,
+                busy_ms: retry_after.as_ms().ceil() as u32,
                 ..FetchBundleResponse::default()
             };
         }
-        let rest = all.get(offset as usize..).unwrap_or_default();
-        let length = rest
+        let remaining = all.get(offset as usize..).unwrap_or_default();
+        let length = remaining
             .len()
             .min(request.bytes_most as usize)
             .min(PART_BYTES_MAX);
@@ -114,7 +124,7 @@
             package: package.digest().as_bytes().to_vec(),
             total_bytes: all.len() as u64,
             offset,
-            bytes: rest[..length].to_vec(),
+            bytes: remaining[..length].to_vec(),
         };
         FetchBundleResponse {
             body: Some(FetchedBody::Part(part)),
@@ -123,13 +133,13 @@
     }
 }
 
-/// Whether differences name less than there is in all.
+/// Whether the deltas name at most as many services and routes as the whole bundle.
 fn are_smaller(differences: &[&BundleDelta], offer: &Offer<Verified>) -> bool {
     let named: usize = differences.iter().map(|delta| delta.size()).sum();
     named <= offer.body().bundle().size()
 }
 
-/// The answer to a peer that knows no parts.
+/// The answer to a peer that runs an older release and cannot fetch packages in parts.
 fn whole_version_response(offer: &Offer<Verified>) -> FetchBundleResponse {
     FetchBundleResponse {
         head: serde_json::to_vec(offer.head()).unwrap_or_default(),
--- a/crates/pinhaven-entry/src/versions/service_entry.rs
+++ b/crates/pinhaven-entry/src/versions/service_entry.rs
@@ -1,4 +1,4 @@
-//! A service as a request finds it: its configuration, what is known of its targets, and connections.
+//! A service as requests see it: its configuration, the state of its targets and the connection pools.
 
 use crate::request::places::Places;
 use crate::targets::pool::TargetPool;
@@ -16,11 +16,12 @@
     pub(crate) config: Service,
     pub(crate) state: Arc<ServiceState>,
     pub(crate) pools: HashMap<TargetAddress, Arc<TargetPool>>,
-    /// Notified when a request of the service leaves its place.
+    /// Notified when a request of the service releases capacity.
     pub(crate) capacity_freed: Arc<Places>,
 }
 
-/// A service of a new version, with what is known from the one before.
+/// Builds the entry of a service in a new version. Retains the state and the connections of the previous
+/// version where they still apply.
 pub(crate) fn build_service_entry(
     service: &Service,
     domain: &FailureDomain,
@@ -32,8 +33,8 @@
     }
     let state = ServiceState::new(service, previous.map(|p| &*p.state), now).with_domain(domain);
     let pool_of = |target: &Target| {
-        // Connections to another target that had the address before, or to an earlier run of it, are of
-        // no use.
+        // Connections to another target that had the address before, or to an earlier run of the same
+        // target, cannot be reused.
         let is_same = |previous: &&Arc<ServiceEntry>| {
             let known = previous.state.target(target.address);
             known.is_some_and(|known| known.is_same_run(target))
--- a/crates/pinhaven-entry/src/versions/snapshot.rs
+++ b/crates/pinhaven-entry/src/versions/snapshot.rs
@@ -1,4 +1,7 @@
-//! What a request's path reads: one snapshot of the version in force, replaced as a whole.
+//! Snapshot of the version in force with the current targets.
+//!
+//! Each request reads one snapshot, so that a request never sees parts of two versions. A new version or
+//! a change of the targets replaces the snapshot as a whole.
 
 use crate::callers::routes::RouteEntry;
 use crate::callers::routes::RouteTable;
@@ -20,10 +23,10 @@
 use std::sync::Arc;
 use std::sync::LazyLock;
 
-/// How long address answers would be kept before any version is known, in milliseconds.
+/// Cache lifetime of address answers before any version is in force, in milliseconds.
 const NO_BUNDLE_KEEP_MS: u64 = 1_000;
 
-/// The bundle before any version is known.
+/// The bundle before any version is in force.
 static NO_BUNDLE: LazyLock<Bundle> = LazyLock::new(|| Bundle {
     version: BundleVersion::NONE,
     measuring: Default::default(),
@@ -33,35 +36,35 @@
     limits: None,
 });
 
-/// All services in one version.
+/// All services in one version, with the indexes for routing.
 pub(crate) struct Snapshot {
     pub(crate) version: BundleVersion,
     body: Option<Arc<CanonicalBundle>>,
     pub(crate) services: HashMap<ServiceName, Arc<ServiceEntry>>,
     hosts: HashMap<String, Arc<ServiceEntry>>,
     routes: RouteTable,
-    /// Targets with an id, by the short hash of it that entries use among themselves.
+    /// Targets with an id, by the short key that identifies them in messages between entries.
     by_key: HashMap<u32, KeyedTarget>,
 }
 
-/// A target and the service that it belongs to.
+/// A target and its service.
 #[derive(Clone)]
 pub(crate) struct KeyedTarget {
     pub(crate) service: Arc<ServiceEntry>,
     pub(crate) target: Arc<pinhaven_decide::TargetState>,
 }
 
-/// What a snapshot is made of besides the bundle.
+/// Inputs of a snapshot besides the bundle.
 #[derive(Clone, Copy)]
 pub(crate) struct SnapshotContext<'entry> {
-    /// Targets of services whose targets are discovered.
+    /// Targets of the services with discovered targets.
     pub(crate) listed: &'entry TargetList,
-    /// Where this entry stands.
+    /// Failure domain of this entry.
     pub(crate) domain: &'entry FailureDomain,
 }
 
 impl Snapshot {
-    /// The snapshot before any version is known.
+    /// The snapshot before any version is in force.
     pub(crate) fn empty() -> Self {
         Self {
             version: BundleVersion::NONE,
@@ -73,7 +76,7 @@
         }
     }
 
-    /// The snapshot of a bundle. Services that are the same as before are taken over as they are.
+    /// The snapshot of a bundle. Services that are unchanged since `previous` are reused.
     pub(crate) fn new(
         body: Arc<CanonicalBundle>,
         context: SnapshotContext<'_>,
@@ -117,17 +120,17 @@
         &self.by_key
     }
 
-    /// The body of the version; `None` before any is known.
+    /// The body of the version; `None` before any version is in force.
     pub(crate) fn body(&self) -> Option<&Arc<CanonicalBundle>> {
         self.body.as_ref()
     }
 
-    /// What requests may bring, where the operators limit it.
+    /// Limits of requests, if the operators have set any.
     pub(crate) fn limits(&self) -> Option<RequestLimits> {
         self.bundle().limits
     }
 
-    /// The route for a path of a host, with or without the host's port.
+    /// The route for a path of a host. The host may include a port.
     pub(crate) fn route_for(&self, host: &str, path: &str) -> Option<&Arc<RouteEntry>> {
         if let Some(route) = self.routes.find(host, path) {
             return Some(route);
@@ -144,7 +147,7 @@
         self.routes.find(host, path)
     }
 
-    /// The bundle; an empty one before any version is known.
+    /// The bundle; an empty bundle before any version is in force.
     pub(crate) fn bundle(&self) -> &Bundle {
         match &self.body {
             Some(body) => body.bundle(),
@@ -152,7 +155,7 @@
         }
     }
 
-    /// The service with this `Host`, with or without its port.
+    /// The service for a `Host` field, with or without a port.
     pub(crate) fn service_for_host(&self, host: &str) -> Option<&Arc<ServiceEntry>> {
         if let Some(entry) = self.hosts.get(host) {
             return Some(entry);
@@ -167,6 +170,7 @@
     }
 }
 
+/// Indexes the targets that have an id by their key.
 fn index_by_key(services: &HashMap<ServiceName, Arc<ServiceEntry>>) -> HashMap<u32, KeyedTarget> {
     let mut by_key = HashMap::new();
     for service in services.values() {
@@ -184,7 +188,7 @@
     by_key
 }
 
-/// The listed targets of each service.
+/// Groups the listed targets by service.
 fn group_by_service(listed: &TargetList) -> HashMap<&ServiceName, Vec<&ListedTarget>> {
     let mut services: HashMap<&ServiceName, Vec<&ListedTarget>> = HashMap::new();
     for target in listed.targets.values() {
@@ -193,8 +197,8 @@
     services
 }
 
-/// A service with the targets that are listed for it. Of two at one address, which can only be while
-/// one is replaced by the other, the one that takes new work counts.
+/// Adds to a service the targets listed for it. If two targets have the same address, which happens only
+/// while one replaces the other, a target that is not leaving takes precedence.
 fn with_listed_targets(
     service: &Service,
     listed: &HashMap<&ServiceName, Vec<&ListedTarget>>,
