--- a/crates/pinhaven-entry/src/start_wait.rs
+++ b/crates/pinhaven-entry/src/start_wait.rs
@@ -1,4 +1,4 @@
-//! Wait of requests that arrive before this entry is ready to serve.
+//! Delays requests that arrive before this entry is ready to serve.
 //!
 //! After an outage of all entries, callers return while the entries still read the version in force and
 //! the targets, which takes some tenths of a second. Requests that arrive in this time wait, because a
--- a/crates/pinhaven-entry/src/stop.rs
+++ b/crates/pinhaven-entry/src/stop.rs
@@ -85,7 +85,7 @@
         .is_none()
         .then(|| spawn(async move { writer.write_own_row().await }));
     sleep_ms(plan.drain_ms).await;
-    log::info!(target: "stop", "Listener closed; waiting for {} requests in flight.", entry.in_flight());
+    log::info!(target: "stop", "Closing the listener; waiting for {} requests in flight.", entry.in_flight());
     servers.callers.close_gracefully();
     let wait_ms = plan.finish_ms.saturating_sub(FINAL_ANSWERS_MS);
     let is_finished = wait_until_idle(entry, &servers.callers, wait_ms).await;
--- a/crates/pinhaven-entry/src/versions/bundles.rs
+++ b/crates/pinhaven-entry/src/versions/bundles.rs
@@ -1,4 +1,4 @@
-//! Following of the bundle history.
+//! Follows the bundle history.
 //!
 //! A few readers in each failure domain poll the head at the platform; the other entries learn of new
 //! versions from their peers. The body comes from the object store or from a peer, and is verified here
@@ -32,7 +32,8 @@
 const HEAD_POLL_SLOW_FACTOR: u64 = 10;
 
 impl Entry {
-    /// Polls the head and puts new versions in force. Runs until the process exits.
+    /// Polls the head and puts new versions in force; the first one makes this entry ready. Runs until the
+    /// process exits.
     pub(crate) async fn follow_bundles(self: Arc<Self>) {
         let mut polls: u64 = 0;
         loop {
@@ -41,7 +42,7 @@
             if !is_in_force || is_reader || polls.is_multiple_of(HEAD_POLL_SLOW_FACTOR) {
                 let platform_answered = self.poll_head().await;
                 if !platform_answered && !is_in_force {
-                    self.ask_peers_for_start().await;
+                    self.fetch_initial_version().await;
                 }
             }
             polls += 1;
@@ -84,7 +85,7 @@
         let read = self.objects.read(&bundle_object(head.digest)).await;
         let bytes = match self.count_platform(read) {
             Ok(Some(bytes)) => bytes,
-            Ok(None) | Err(_) => return self.ask_all_peers().await >= head.version,
+            Ok(None) | Err(_) => return self.fetch_from_all_peers().await >= head.version,
         };
         self.adopt(move |entry| match CanonicalBundle::from_bytes(&bytes) {
             Ok(body) => entry.accept_offer(Offer::new(head, body)),
@@ -136,7 +137,7 @@
     }
 
     /// Fetches newer versions from all known peers and seeds. Returns the version in force afterwards.
-    async fn ask_all_peers(self: &Arc<Self>) -> BundleVersion {
+    async fn fetch_from_all_peers(self: &Arc<Self>) -> BundleVersion {
         for peer in self.known_peer_addresses() {
             self.fetch_from(peer).await;
         }
@@ -145,8 +146,8 @@
 
     /// Obtains the version in force from peers while the platform is unavailable. All known peers are
     /// asked, because any of them may hold the newest version.
-    async fn ask_peers_for_start(self: &Arc<Self>) {
-        if self.ask_all_peers().await > BundleVersion::NONE {
+    async fn fetch_initial_version(self: &Arc<Self>) {
+        if self.fetch_from_all_peers().await > BundleVersion::NONE {
             log::info!(target: "bundle", "The version in force was fetched from peers.");
         }
     }
--- a/crates/pinhaven-entry/src/versions/discovered.rs
+++ b/crates/pinhaven-entry/src/versions/discovered.rs
@@ -1,4 +1,4 @@
-//! Following of the configuration in a store that also holds the targets and the peers.
+//! Follows the configuration in a store that also holds the targets and the peers.
 //!
 //! Only a few entries, the delegates, use the store directly; the others fetch new versions from peers.
 //! An entry whose calls to the store fail relies on its peers, and an entry without live peers uses the
--- a/crates/pinhaven-entry/src/versions/fetch.rs
+++ b/crates/pinhaven-entry/src/versions/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching of a newer version from peers that have it.
+//! Fetches newer versions from peers that have them.
 //!
 //! The entry requests a package from one peer at a time, part by part, until the package is complete or
 //! the peer fails; another peer that holds the version then continues. Received parts are retained between
--- a/crates/pinhaven-entry/src/versions/reload.rs
+++ b/crates/pinhaven-entry/src/versions/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of the settings while the entry runs.
+//! Reloads the settings while the entry runs.
 
 use crate::entry::Entry;
 use std::sync::Arc;
--- a/crates/pinhaven-entry/src/versions/serve.rs
+++ b/crates/pinhaven-entry/src/versions/serve.rs
@@ -1,8 +1,9 @@
-//! Serving of the version in force to peers that lack it.
+//! Serves the version in force to peers that lack it.
 //!
 //! A peer requests a package part by part. The package contains the deltas from the version that the peer
-//! holds, if they are available and smaller than the whole body, or else the whole body. A budget limits
-//! the share of the link used for packages; a peer that exceeds the budget is told to retry later.
+//! holds, if they are available and no larger than the whole body, or else the whole body. A budget limits
+//! the share of the link used for packages; a peer that requests a package beyond the budget gets a
+//! retry delay instead.
 
 use crate::entry::Entry;
 use crate::watch::counters::Count;
