--- a/crates/pinhaven-entry/src/crashes/advertise.rs
+++ b/crates/pinhaven-entry/src/crashes/advertise.rs
@@ -52,7 +52,7 @@
                 continue;
             }
             sleep_ms(ADVERTISE_DELAY_MS).await;
-            self.news.notify(usize::MAX);
+            self.urgent_update.notify(usize::MAX);
         }
     }
 
--- a/crates/pinhaven-entry/src/peers/datagram_receiver.rs
+++ b/crates/pinhaven-entry/src/peers/datagram_receiver.rs
@@ -71,7 +71,7 @@
         let targets = datagram.targets.unwrap_or_default().rows();
         self.apply_target_updates(incarnation, &beat, &targets, datagram.is_whole);
         let rpc_address = self.rpc_address(incarnation).unwrap_or(peer);
-        self.hear_version(rpc_address, BundleVersion::new(beat.version));
+        self.learn_version(rpc_address, BundleVersion::new(beat.version));
         if let Some(list) = datagram.list {
             let age = list
                 .age_ms
@@ -124,7 +124,7 @@
     fn wake_waiting(&self) {
         for service in self.snapshot.load().services.values() {
             if service.state.waiting() > 0 {
-                service.place_freed.notify(1);
+                service.capacity_freed.notify(1);
             }
         }
     }
--- a/crates/pinhaven-entry/src/peers/datagram_sender.rs
+++ b/crates/pinhaven-entry/src/peers/datagram_sender.rs
@@ -88,7 +88,7 @@
 pub(crate) fn listen(address: SocketAddr) -> Result<Arc<DatagramSocket>, EntryError> {
     let socket = Async::<UdpSocket>::bind(address);
     socket.map(Arc::new).map_err(|error| EntryError::System {
-        step: EntryStep::ListenForNews,
+        step: EntryStep::ListenForDatagrams,
         peer: address.to_string(),
         message: error.to_string(),
     })
@@ -135,7 +135,7 @@
         // Peers should learn of this entry at once.
         self.send_round(&mut sender, &socket, true).await;
         loop {
-            let urgent_update = self.news.listen();
+            let urgent_update = self.urgent_update.listen();
             let is_urgent = within(self.next_round_delay(&sender), urgent_update)
                 .await
                 .is_some();
--- a/crates/pinhaven-entry/src/peers/gossip.rs
+++ b/crates/pinhaven-entry/src/peers/gossip.rs
@@ -71,7 +71,7 @@
             let (first, rest) = peers.split_at(peers.len().min(1));
             self.exchange_with_all(&rest[..rest.len().min(fan_out - 1)]);
             // The listener is created before the exchange, so that a notification during the exchange is not missed.
-            let urgent_update = self.news.listen();
+            let urgent_update = self.urgent_update.listen();
             if let Some(peer) = first.first() {
                 self.exchange_with(*peer).await;
             }
@@ -298,7 +298,7 @@
         &self,
         request: Request<FetchBundleRequest>,
     ) -> Result<Response<FetchBundleResponse>, Status> {
-        Ok(Response::new(self.0.give_version(&request.into_inner())))
+        Ok(Response::new(self.0.serve_version(&request.into_inner())))
     }
 
     async fn relay_once(
--- a/crates/pinhaven-entry/src/peers/peer_rows.rs
+++ b/crates/pinhaven-entry/src/peers/peer_rows.rs
@@ -3,7 +3,7 @@
 //! Only few entries write a row: the store delegates, which use the store on behalf of all entries.
 
 use crate::entry::Entry;
-use crate::versions::discovered::DELEGATE_LOOK_MS;
+use crate::versions::discovered::DELEGATE_POLL_MS;
 use crate::versions::store_pace::FIRST_RANK;
 use crate::versions::store_pace::pause_before_retry;
 use pinhaven_agree::RetryBackoff;
@@ -30,8 +30,8 @@
             return;
         };
         sleep_ms(FIRST_WRITE_DELAY_MS).await;
-        while !self.speaks_with_store(true) {
-            sleep_ms(DELEGATE_LOOK_MS).await;
+        while !self.uses_store(true) {
+            sleep_ms(DELEGATE_POLL_MS).await;
         }
         let mut backoff = RetryBackoff::default();
         while let Err(error) = self.announce(&store).await {
@@ -43,7 +43,7 @@
         loop {
             let is_delegate_read_due = intervals.is_multiple_of(INTERVALS_PER_DELEGATE_READ);
             let is_alone = self.members.lock().live_peers(self.now()).is_empty();
-            if is_alone || (is_delegate_read_due && self.speaks_with_store(true)) {
+            if is_alone || (is_delegate_read_due && self.uses_store(true)) {
                 self.read_members(&store).await;
             }
             intervals += 1;
--- a/crates/pinhaven-entry/src/request/dispatch.rs
+++ b/crates/pinhaven-entry/src/request/dispatch.rs
@@ -55,7 +55,7 @@
         attempts_max: job
             .attempts_most
             .unwrap_or(RequestFacts::new(true, job.deadline).attempts_max),
-        entry_utilization: job.entry.use_share(),
+        entry_utilization: job.entry.utilization(),
         priority: job.routed.config().map(|route| route.priority),
         prior_wait: job.waited,
     };
@@ -113,7 +113,7 @@
         let attempt_count = self.in_flight.len() + self.answers.len();
         self.in_flight.clear();
         self.answers.clear();
-        self.job.service.place_freed.notify(attempt_count.max(1));
+        self.job.service.capacity_freed.notify(attempt_count.max(1));
     }
 }
 
@@ -124,7 +124,7 @@
             // Listens before the actions are carried out, so that no notification of freed capacity is missed.
             let capacity = step
                 .awaits_capacity
-                .then(|| self.job.service.place_freed.listen(self.priority()));
+                .then(|| self.job.service.capacity_freed.listen(self.priority()));
             for action in std::mem::take(&mut step.actions) {
                 match action {
                     Action::Send(attempt) => self.send(attempt),
@@ -250,14 +250,14 @@
         self.add_trace(TraceEvent::Cancelled { attempt: id.0 });
         self.in_flight
             .retain(|in_flight| in_flight.attempt.id != id);
-        self.job.service.place_freed.notify(1);
+        self.job.service.capacity_freed.notify(1);
     }
 
     /// Drops answers that the last step did not deliver, and releases the capacity of their attempts.
     fn drop_answers(&mut self) {
         if !self.answers.is_empty() {
             self.answers.clear();
-            self.job.service.place_freed.notify(1);
+            self.job.service.capacity_freed.notify(1);
         }
     }
 
@@ -266,7 +266,7 @@
     async fn next_event(&mut self, step: &Step, mut capacity: Option<EventListener>) -> Event {
         let wake_at = step.wake_at.unwrap_or(self.job.deadline);
         let mut timer = async_io::Timer::at(self.job.entry.clock.instant_of(wake_at));
-        let mut stopping = std::pin::pin!(self.job.entry.ending.wait());
+        let mut stopping = std::pin::pin!(self.job.entry.stop_signal.wait());
         let event = poll_fn(|context| {
             for (index, attempt) in self.in_flight.iter_mut().enumerate() {
                 if let Poll::Ready(end) = attempt.outcome.as_mut().poll(context) {
@@ -379,7 +379,7 @@
     fn release_capacity(&self, attempt: Attempt, count: Count) {
         drop(attempt);
         self.job.entry.counters.add(count);
-        self.job.service.place_freed.notify(1);
+        self.job.service.capacity_freed.notify(1);
     }
 
     /// Derives the outcome of an attempt from its answer, and updates the request's state by the facts of the answer.
@@ -423,7 +423,7 @@
         let pool = self.job.service.pools.get(&attempt.target.address());
         let guard = AnswerGuard {
             entry: Arc::clone(&self.job.entry),
-            capacity_freed: Arc::clone(&self.job.service.place_freed),
+            capacity_freed: Arc::clone(&self.job.service.capacity_freed),
             sender: ReturnSender::new(pool.cloned().unwrap_or_default(), answer.sender),
             attempt: Some(attempt),
             record_context: RecordContext::new(self.job),
--- a/crates/pinhaven-entry/src/start.rs
+++ b/crates/pinhaven-entry/src/start.rs
@@ -1,4 +1,5 @@
-//! Starting an entry and running it until it is told to stop.
+//! Start of an entry: listens at its addresses, spawns the background tasks and runs until a signal
+//! requests the stop.
 
 use crate::callers::directory::serve_directory;
 use crate::callers::proxy::answer_caller;
@@ -33,19 +34,20 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Connections from peers and operators at a time.
+/// Maximum number of concurrent connections from peers and operators.
 const PEER_CONNECTIONS_MAX: usize = 1_000;
-/// How long a peer's connection may be idle, in milliseconds.
+/// Idle timeout of connections from peers and operators, in milliseconds.
 const PEER_IDLE_MS: u64 = 60_000;
-/// How often the start looks whether a version is in force, in milliseconds.
-const READY_LOOK_MS: u64 = 20;
+/// Interval of the checks whether this entry has become ready, in milliseconds.
+const READY_POLL_MS: u64 = 20;
 
-/// Runs an entry until it gets SIGTERM or SIGINT, then stops it as planned. Returns whether the stop
-/// finished everything in flight.
+/// Runs an entry until SIGTERM or SIGINT, then performs the planned stop. Returns whether all requests
+/// in flight finished before the end of the stop.
 ///
 /// # Errors
 ///
-/// [`EntryError`] when it can't listen.
+/// [`EntryError`] when the entry cannot listen at an address or for signals, or cannot prepare the
+/// metrics.
 pub fn run_entry(settings: Settings, environment: EntryEnvironment) -> Result<bool, EntryError> {
     let threads = settings.worker_threads;
     run_with_threads(threads, run(settings, environment))
@@ -101,14 +103,14 @@
     serve(&entry, &servers);
     if entry.discovery.is_some() {
         serve_directory(&entry)?;
-        run_beside_discovered(&entry, servers.peers.local_address())?;
+        spawn_discovery_tasks(&entry, servers.peers.local_address())?;
     } else {
-        run_beside(&entry);
+        spawn_bundle_tasks(&entry);
     }
     if let Some(client) = metrics_client {
         spawn(Arc::clone(&entry).report_metrics(client)).detach();
     }
-    // An error among the signals would be the system's; the entry stops as planned then, too.
+    // A failed read of the signals also leads to the planned stop.
     while let Some(Ok(Signal::Hup)) = signals.next().await {
         entry.reload();
     }
@@ -154,20 +156,28 @@
     answer_peer(answers, request).await
 }
 
-/// Starts what runs beside the requests.
-fn run_beside(entry: &Arc<Entry>) {
+/// Spawns the background tasks of an entry that uses the table service and signed bundles.
+fn spawn_bundle_tasks(entry: &Arc<Entry>) {
     spawn(Arc::clone(entry).follow_bundles()).detach();
     spawn(Arc::clone(entry).gossip()).detach();
     spawn(Arc::clone(entry).keep_seat()).detach();
     spawn(Arc::clone(entry).probe()).detach();
-    spawn(Arc::clone(entry).count_epochs()).detach();
-    spawn(Arc::clone(entry).announce_start()).detach();
+    spawn(Arc::clone(entry).advance_epochs()).detach();
+    spawn(Arc::clone(entry).write_start_rows()).detach();
     spawn(Arc::clone(entry).wake_for_crashes()).detach();
 }
 
-/// Starts what runs beside the requests where a store holds everything.
-fn run_beside_discovered(entry: &Arc<Entry>, news_address: SocketAddr) -> Result<(), EntryError> {
-    let socket = datagram_sender::listen(news_address)?;
+/// Spawns the background tasks of an entry that reads its configuration, targets and peers from one
+/// store.
+///
+/// # Errors
+///
+/// [`EntryError`] when the address for datagrams of peers cannot be bound.
+fn spawn_discovery_tasks(
+    entry: &Arc<Entry>,
+    datagram_address: SocketAddr,
+) -> Result<(), EntryError> {
+    let socket = datagram_sender::listen(datagram_address)?;
     spawn(Arc::clone(entry).follow_configuration()).detach();
     spawn(Arc::clone(entry).keep_target_list()).detach();
     spawn(Arc::clone(entry).maintain_membership()).detach();
@@ -179,19 +189,19 @@
 }
 
 impl Entry {
-    /// Begins epochs of once-only requests for ever.
-    async fn count_epochs(self: Arc<Self>) {
+    /// Begins a new epoch of once-only requests at each interval.
+    async fn advance_epochs(self: Arc<Self>) {
         loop {
             sleep_ms(self.settings.ledger_epoch_ms).await;
             self.ledger.lock().advance_epoch();
         }
     }
 
-    /// Writes the own row, and again once this entry is ready.
-    async fn announce_start(self: Arc<Self>) {
+    /// Writes this entry's member row at the start, and again when the entry becomes ready.
+    async fn write_start_rows(self: Arc<Self>) {
         self.write_own_row().await;
         while self.state() == MemberState::Starting {
-            sleep_ms(READY_LOOK_MS).await;
+            sleep_ms(READY_POLL_MS).await;
         }
         if self.state() == MemberState::Ready {
             log::info!(target: "entry", "Ready.");
--- a/crates/pinhaven-entry/src/versions/fetch.rs
+++ b/crates/pinhaven-entry/src/versions/fetch.rs
@@ -1,7 +1,8 @@
-//! Getting a newer version from peers that have it.
+//! Fetches newer versions from peers that have them.
 //!
-//! One peer is asked at a time, part by part, until the package is here or the peer fails; then another that
-//! holds the version goes on. What has come is kept between tries, so that each try ends nearer to the version.
+//! The entry requests a package from one peer at a time, part by part, until the package is complete or
+//! the peer fails; another peer that holds the version then continues. Received parts are retained between
+//! attempts, so that repeated failures still make progress.
 
 use crate::entry::Entry;
 use crate::watch::counters::Count;
@@ -28,140 +29,145 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Peers that are asked one after the other in a round.
-const PEERS_TRIED_MOST: usize = 3;
-/// Rounds in which all were busy before the next news of a version starts anew.
-const ROUNDS_MOST: u32 = 20;
-/// How often a package may be begun anew at one peer. It is when the peer has another one than was begun.
-const RESTARTS_MOST: u32 = 2;
+/// Maximum number of peers tried in a round.
+const PEERS_TRIED_MAX: usize = 3;
+/// Maximum number of rounds in which all tried peers are busy. After that, the next advertised version
+/// starts a new fetch.
+const ROUNDS_MAX: u32 = 20;
+/// Maximum number of restarts of a package at one peer. A fetch restarts when the peer serves another
+/// package than the partially fetched one.
+const RESTARTS_MAX: u32 = 2;
 
-/// How asking a peer ended.
+/// Outcome of a fetch from one peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Outcome {
     /// A newer version is in force.
     InForce,
-    /// The peer has one and no room to give it for so long.
+    /// The peer has a newer version and no capacity to serve it for this time.
     Busy(Duration),
-    /// The peer has none, or failed.
+    /// The peer has no newer version, or failed.
     TryAnother,
 }
 
-/// What a peer said.
+/// Reply of a peer to a request for a part.
 enum Reply {
     NothingNewer,
     Busy(Duration),
     Part(Part),
-    /// From a peer that knows no parts.
+    /// A whole version or deltas from a peer that runs an older release, which does not serve
+    /// parts.
     Unpacked(Box<UnpackedPackage>),
+    /// A reply that cannot be decoded, with the reason.
     Unreadable(&'static str),
 }
 
-/// What to do after a reply.
-enum Next {
-    Ask,
-    Adopt(Arrived),
-    Leave(Outcome),
+/// Next step of a fetch after a reply.
+enum NextStep {
+    RequestPart,
+    Adopt(ReceivedVersion),
+    End(Outcome),
 }
 
-/// A version that has come whole.
-enum Arrived {
+/// A completely received version.
+enum ReceivedVersion {
     Package(Vec<u8>),
     Unpacked(Box<UnpackedPackage>),
 }
 
-/// Asking one peer.
-struct Asking {
+/// State of a fetch from one peer.
+struct PeerAttempt {
     peer: SocketAddr,
     restarts: u32,
 }
 
-/// The one fetch that may be under way; others may begin once this is dropped.
-struct Fetching(Arc<Entry>);
+/// Guard of the fetch in progress; at most one exists per entry.
+struct FetchGuard(Arc<Entry>);
 
-impl Fetching {
-    /// Begins, unless one is under way.
+impl FetchGuard {
+    /// Begins a fetch; `None` while another fetch is in progress.
     fn begin(entry: &Arc<Entry>) -> Option<Self> {
-        let is_under_way = entry.is_fetching.swap(true, Ordering::Acquire);
-        (!is_under_way).then(|| Self(Arc::clone(entry)))
+        let is_in_progress = entry.is_fetching.swap(true, Ordering::Acquire);
+        (!is_in_progress).then(|| Self(Arc::clone(entry)))
     }
 }
 
-impl Drop for Fetching {
+impl Drop for FetchGuard {
     fn drop(&mut self) {
         self.0.is_fetching.store(false, Ordering::Release);
     }
 }
 
 impl Entry {
-    /// Takes a newer version from a peer or from others that have it. While one is being taken this does
-    /// nothing; the next news shows whether there is still something to take.
+    /// Fetches newer versions, first from `peer` and then from others that have them. Does nothing while
+    /// another fetch is in progress; the next advertised version starts a fetch if it is still missing.
     pub(crate) async fn fetch_from(self: &Arc<Self>, peer: SocketAddr) {
-        let Some(_fetching) = Fetching::begin(self) else {
+        let Some(_fetch_guard) = FetchGuard::begin(self) else {
             return;
         };
         let mut first = Some(peer);
-        for _ in 0..ROUNDS_MOST {
-            let Some(away) = self.ask_round(first.take()).await else {
+        for _ in 0..ROUNDS_MAX {
+            let Some(retry_after) = self.run_round(first.take()).await else {
                 return;
             };
-            // Askers that were sent away at the same time come back at different ones.
-            let pause = away.mul_f64(1.0 + fastrand::f64());
+            // The random factor spreads the retries of entries that were refused at the same time.
+            let pause = retry_after.mul_f64(1.0 + fastrand::f64());
             sleep_ms(pause.as_millis() as u64).await;
         }
     }
 
-    /// Asks a few peers one after the other. Returns how long to stay away when the last ones that have what is
-    /// missing were busy.
-    async fn ask_round(self: &Arc<Self>, first: Option<SocketAddr>) -> Option<Duration> {
+    /// Fetches from a few peers one after the other. Returns the time after which to retry when, since the
+    /// last version put in force, a tried peer was busy.
+    async fn run_round(self: &Arc<Self>, first: Option<SocketAddr>) -> Option<Duration> {
         let mut tried = Vec::new();
-        let mut away: Option<Duration> = None;
+        let mut retry_after: Option<Duration> = None;
         let mut next = first.or_else(|| self.next_holder(&tried));
         while let Some(peer) = next {
             match self.fetch_package(peer).await {
                 Outcome::InForce => {
                     tried.clear();
-                    away = None;
+                    retry_after = None;
                 }
                 Outcome::Busy(time) => {
                     tried.push(peer);
-                    away = Some(away.map_or(time, |least| least.min(time)));
+                    retry_after = Some(retry_after.map_or(time, |shortest| shortest.min(time)));
                 }
                 Outcome::TryAnother => tried.push(peer),
             }
             next = self.next_holder(&tried);
         }
-        if away.is_some() {
+        if retry_after.is_some() {
             self.miss_version("all that were asked are busy");
         }
-        away
+        retry_after
     }
 
-    /// Another peer that has what this entry lacks.
+    /// A peer not tried yet that has a version newer than the one in force; `None` when no version is
+    /// missing or enough peers were tried.
     fn next_holder(&self, tried: &[SocketAddr]) -> Option<SocketAddr> {
         let held = self.version.lock().version();
-        if tried.len() >= PEERS_TRIED_MOST || self.version_lag.lock().known() <= held {
+        if tried.len() >= PEERS_TRIED_MAX || self.version_lag.lock().known() <= held {
             return None;
         }
         let members = self.members.lock();
         members.find_holder(held.next(), tried, fastrand::u64(..), self.now())
     }
 
-    /// Takes a package from a peer, part by part, and what it leads to.
+    /// Fetches a package from a peer, part by part, and puts its version in force.
     async fn fetch_package(self: &Arc<Self>, peer: SocketAddr) -> Outcome {
-        let mut asking = Asking { peer, restarts: 0 };
+        let mut attempt = PeerAttempt { peer, restarts: 0 };
         loop {
             let request = self.part_request();
-            let next = match self.ask_for_part(peer, request).await {
-                Ok(reply) => self.take_reply(&mut asking, request, reply),
+            let next = match self.fetch_part(peer, request).await {
+                Ok(reply) => self.handle_reply(&mut attempt, request, reply),
                 Err(error) => {
                     self.version_fetch.lock().record_timeout();
-                    self.leave(&error)
+                    self.abandon_peer(&error)
                 }
             };
             match next {
-                Next::Ask => {}
-                Next::Adopt(arrived) => return self.adopt_arrived(peer, arrived).await,
-                Next::Leave(outcome) => return outcome,
+                NextStep::RequestPart => {}
+                NextStep::Adopt(received) => return self.adopt_received(peer, received).await,
+                NextStep::End(outcome) => return outcome,
             }
         }
     }
@@ -171,63 +177,74 @@
         self.version_fetch.lock().request(held)
     }
 
-    async fn ask_for_part(&self, peer: SocketAddr, request: PartRequest) -> Result<Reply, String> {
+    async fn fetch_part(&self, peer: SocketAddr, request: PartRequest) -> Result<Reply, String> {
         let timeout = Duration::from_micros(PART_TIMEOUT.count());
-        let message = message_of(request);
+        let message = fetch_request(request);
         let response = self.peers.fetch_bundle(peer, timeout, message).await;
         let response = response.map_err(|error| error.to_string())?;
-        Ok(reply_of(response))
+        Ok(parse_reply(response))
     }
 
-    fn take_reply(&self, asking: &mut Asking, request: PartRequest, reply: Reply) -> Next {
-        let peer = asking.peer;
+    fn handle_reply(
+        &self,
+        attempt: &mut PeerAttempt,
+        request: PartRequest,
+        reply: Reply,
+    ) -> NextStep {
+        let peer = attempt.peer;
         match reply {
-            Reply::NothingNewer => Next::Leave(Outcome::TryAnother),
-            Reply::Busy(away) => Next::Leave(Outcome::Busy(away)),
-            Reply::Part(part) => self.take_part(asking, request, part),
-            Reply::Unpacked(unpacked) => Next::Adopt(Arrived::Unpacked(unpacked)),
-            Reply::Unreadable(why) => self.leave(&format!("{why}, from {peer}")),
+            Reply::NothingNewer => NextStep::End(Outcome::TryAnother),
+            Reply::Busy(retry_after) => NextStep::End(Outcome::Busy(retry_after)),
+            Reply::Part(part) => self.handle_part(attempt, request, part),
+            Reply::Unpacked(unpacked) => NextStep::Adopt(ReceivedVersion::Unpacked(unpacked)),
+            Reply::Unreadable(reason) => self.abandon_peer(&format!("{reason}, from {peer}")),
         }
     }
 
-    fn take_part(&self, asking: &mut Asking, request: PartRequest, part: Part) -> Next {
-        let peer = asking.peer;
-        asking.restarts += u32::from(request.offset > 0 && part.offset == 0);
-        if asking.restarts > RESTARTS_MOST {
-            return self.leave(&format!("{peer} gives another package each time"));
+    fn handle_part(&self, attempt: &mut PeerAttempt, request: PartRequest, part: Part) -> NextStep {
+        let peer = attempt.peer;
+        attempt.restarts += u32::from(request.offset > 0 && part.offset == 0);
+        if attempt.restarts > RESTARTS_MAX {
+            return self.abandon_peer(&format!("{peer} gives another package each time"));
         }
         match self.version_fetch.lock().record_part(request, part) {
-            Fetched::More => Next::Ask,
-            Fetched::Package(bytes) => Next::Adopt(Arrived::Package(bytes)),
-            Fetched::Rejected => self.leave(&format!("a part from {peer} fits nothing")),
+            Fetched::More => NextStep::RequestPart,
+            Fetched::Package(bytes) => NextStep::Adopt(ReceivedVersion::Package(bytes)),
+            Fetched::Rejected => self.abandon_peer(&format!("a part from {peer} fits nothing")),
         }
     }
 
-    /// Leaves a peer that failed.
-    fn leave(&self, why: &str) -> Next {
-        self.miss_version(why);
-        Next::Leave(Outcome::TryAnother)
+    /// Records the failure of a peer and ends the fetch from it.
+    fn abandon_peer(&self, reason: &str) -> NextStep {
+        self.miss_version(reason);
+        NextStep::End(Outcome::TryAnother)
     }
 
-    async fn adopt_arrived(self: &Arc<Self>, peer: SocketAddr, arrived: Arrived) -> Outcome {
+    async fn adopt_received(
+        self: &Arc<Self>,
+        peer: SocketAddr,
+        received: ReceivedVersion,
+    ) -> Outcome {
         let before = self.version.lock().version();
-        let is_taken = self.adopt(move |entry| entry.take_arrived(arrived)).await;
-        if !is_taken {
+        let is_accepted = self
+            .adopt(move |entry| entry.accept_received(received))
+            .await;
+        if !is_accepted {
             self.miss_version(&format!("what {peer} gave can't be put in force"));
             return Outcome::TryAnother;
         }
-        // A peer that gives what is here already must not be asked for it again and again.
+        // A peer that serves only versions already in force must not be tried again in this round.
         match self.version.lock().version() > before {
             true => Outcome::InForce,
             false => Outcome::TryAnother,
         }
     }
 
-    /// Only [`Self::adopt`] may call this.
-    fn take_arrived(&self, arrived: Arrived) -> bool {
-        let unpacked = match arrived {
-            Arrived::Unpacked(unpacked) => Ok(*unpacked),
-            Arrived::Package(bytes) => {
+    /// Unpacks a received version and puts it in force. Call only within [`Self::adopt`].
+    fn accept_received(&self, received: ReceivedVersion) -> bool {
+        let unpacked = match received {
+            ReceivedVersion::Unpacked(unpacked) => Ok(*unpacked),
+            ReceivedVersion::Package(bytes) => {
                 let length = bytes.len() as u64;
                 self.counters.add_many(Count::PeerBytes, length);
                 self.counters.add_many(Count::BundleBytes, length);
@@ -235,45 +252,48 @@
             }
         };
         match unpacked {
-            Ok(unpacked) => self.take_unpacked(unpacked),
+            Ok(unpacked) => self.accept_unpacked(unpacked),
             Err(error) => {
-                log::error!(target: "bundle", "A package can't be used: {error}.");
+                log::error!(target: "bundle", "A package cannot be unpacked: {error}.");
                 false
             }
         }
     }
 
-    fn take_unpacked(&self, unpacked: UnpackedPackage) -> bool {
+    fn accept_unpacked(&self, unpacked: UnpackedPackage) -> bool {
         let UnpackedPackage { head, content } = unpacked;
         let steps = match &content {
             PackageContent::Differences(deltas) => deltas.clone(),
             PackageContent::Whole(_) => Vec::new(),
         };
-        let body = self.body_of(&head, content);
-        let is_taken = body.is_some_and(|body| self.take_from_peer(head, body));
-        if is_taken {
+        let body = self.resolve_body(&head, content);
+        let is_accepted = body.is_some_and(|body| self.accept_from_peer(head, body));
+        if is_accepted {
             self.recent_deltas.lock().refine_last(steps);
         }
-        is_taken
+        is_accepted
     }
 
-    fn body_of(&self, head: &BundleHead, content: PackageContent) -> Option<CanonicalBundle> {
+    /// The body of a received version: the whole body as received, or the deltas applied to the version in
+    /// force.
+    fn resolve_body(&self, head: &BundleHead, content: PackageContent) -> Option<CanonicalBundle> {
         let deltas = match content {
             PackageContent::Whole(body) => return Some(body),
             PackageContent::Differences(deltas) => deltas,
         };
         let held = self.version.lock().version();
-        let leads_on = deltas.first().is_some_and(|delta| delta.from == held);
+        let starts_here = deltas.first().is_some_and(|delta| delta.from == held);
         let body = self.apply_deltas(head, deltas);
-        // Differences that come late, when the store has brought a version, are no fault of theirs.
-        if body.is_none() && leads_on {
+        // Deltas that do not start at the version in force are only late, for example after the store has
+        // delivered a version; deltas that start there and fail are rejected.
+        if body.is_none() && starts_here {
             self.version_fetch.lock().reject_differences();
         }
         body
     }
 }
 
-fn message_of(request: PartRequest) -> FetchBundleRequest {
+fn fetch_request(request: PartRequest) -> FetchBundleRequest {
     let package = request.package.map(|digest| digest.as_bytes().to_vec());
     FetchBundleRequest {
         held_version: request.held.number(),
@@ -284,10 +304,10 @@
     }
 }
 
-fn reply_of(response: FetchBundleResponse) -> Reply {
+fn parse_reply(response: FetchBundleResponse) -> Reply {
     if response.busy_ms > 0 {
-        let away = Microseconds::from_ms(u64::from(response.busy_ms)).min(RETRY_DELAY_MAX);
-        return Reply::Busy(Duration::from_micros(away.count()));
+        let retry_after = Microseconds::from_ms(u64::from(response.busy_ms)).min(RETRY_DELAY_MAX);
+        return Reply::Busy(Duration::from_micros(retry_after.count()));
     }
     let unpacked = |content: PackageContent| match serde_json::from_slice(&response.head) {
         Ok(head) => Reply::Unpacked(Box::new(UnpackedPackage { head, content })),
@@ -295,7 +315,7 @@
     };
     match response.body {
         None => Reply::NothingNewer,
-        Some(FetchedBody::Part(part)) => part_of(part),
+        Some(FetchedBody::Part(part)) => parse_part(part),
         Some(FetchedBody::Whole(bytes)) => match CanonicalBundle::from_bytes(&bytes) {
             Ok(body) => unpacked(PackageContent::Whole(body)),
             Err(_) => Reply::Unreadable("its version can't be read"),
@@ -307,7 +327,7 @@
     }
 }
 
-fn part_of(part: BundlePart) -> Reply {
+fn parse_part(part: BundlePart) -> Reply {
     match Digest::from_bytes(&part.package) {
         Some(package) => Reply::Part(Part {
             version: BundleVersion::new(part.version),
