--- a/crates/pinhaven-entry/src/callers/address.rs
+++ b/crates/pinhaven-entry/src/callers/address.rs
@@ -94,7 +94,7 @@
 
 /// The entries that a caller is steered to, those of its failure domain first, and how long it may keep
 /// the answer, in milliseconds.
-pub(crate) fn entries_named(entry: &Entry, question: &AddressQuestion) -> (Vec<NamedEntry>, u64) {
+pub(crate) fn select_entries(entry: &Entry, question: &AddressQuestion) -> (Vec<NamedEntry>, u64) {
     let members = entry.members.lock();
     let (region, domain) = (question.region.as_ref(), question.domain.as_ref());
     let rows = members.named_for(region, domain, fastrand::f32, entry.now());
--- a/crates/pinhaven-entry/src/callers/body.rs
+++ b/crates/pinhaven-entry/src/callers/body.rs
@@ -99,13 +99,13 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BodyLimits {
     /// The largest body held whole, in bytes.
-    pub(crate) held_bytes: u64,
+    pub(crate) buffered_bytes: u64,
     /// The largest body taken at all, in bytes.
-    pub(crate) taken_bytes: u64,
+    pub(crate) accepted_bytes: u64,
 }
 
 /// Takes a request's body in: whole if it is small enough, else its beginning.
-pub(crate) async fn take_body(
+pub(crate) async fn receive_body(
     entry: &Arc<Entry>,
     mut body: Incoming,
     limits: BodyLimits,
@@ -114,10 +114,12 @@
         return Ok((RequestBody::Whole(Bytes::new()), None));
     }
     let declared = body.size_hint().exact();
-    if declared.is_some_and(|bytes| bytes > limits.taken_bytes) {
-        return Err(too_large(entry, limits.taken_bytes));
+    if declared.is_some_and(|bytes| bytes > limits.accepted_bytes) {
+        return Err(too_large(entry, limits.accepted_bytes));
     }
-    let reserved = declared.unwrap_or(limits.held_bytes).min(limits.held_bytes);
+    let reserved = declared
+        .unwrap_or(limits.buffered_bytes)
+        .min(limits.buffered_bytes);
     let Some(memory) = entry.reserve_body(reserved) else {
         entry.counters.add(Count::BodyMemory);
         return Err(Problem::not_run(
@@ -126,9 +128,9 @@
             "bodies fill the memory that they may",
         ));
     };
-    let streams = declared.is_some_and(|bytes| bytes > limits.held_bytes);
+    let streams = declared.is_some_and(|bytes| bytes > limits.buffered_bytes);
     let mut held = BytesMut::new();
-    while !streams && held.len() as u64 <= limits.held_bytes {
+    while !streams && held.len() as u64 <= limits.buffered_bytes {
         let Some(frame) = body.frame().await else {
             return Ok((RequestBody::Whole(held.freeze()), Some(memory)));
         };
@@ -139,7 +141,7 @@
             held.extend_from_slice(data);
         }
     }
-    let left = limits.taken_bytes.saturating_sub(held.len() as u64);
+    let left = limits.accepted_bytes.saturating_sub(held.len() as u64);
     let streamed = StreamedBody {
         first: Some(held.freeze()).filter(|first| !first.is_empty()),
         rest: body,
--- a/crates/pinhaven-entry/src/callers/directory.rs
+++ b/crates/pinhaven-entry/src/callers/directory.rs
@@ -97,7 +97,7 @@
     let Some(question) = entry.dialect.read_question(request.uri()) else {
         return with_status(StatusCode::NOT_FOUND, Bytes::new());
     };
-    let (entries, keep_ms) = address::entries_named(entry, &question);
+    let (entries, keep_ms) = address::select_entries(entry, &question);
     if entries.is_empty() {
         return with_status(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     }
--- a/crates/pinhaven-entry/src/callers/job.rs
+++ b/crates/pinhaven-entry/src/callers/job.rs
@@ -24,12 +24,12 @@
     pub(crate) headers: HeaderMap,
     pub(crate) deadline: Microseconds,
     /// How long the caller has waited before, on tries that failed.
-    pub(crate) waited: Microseconds,
+    pub(crate) prior_wait: Microseconds,
     pub(crate) is_repeatable: bool,
-    pub(crate) attempts_most: Option<u32>,
+    pub(crate) attempts_max: Option<u32>,
     pub(crate) body: RequestBody,
     /// Where its caller connects from; nothing for a request that a peer relayed.
     pub(crate) caller: Option<CallerAddress>,
     /// Its prints, once anything has asked for them.
-    pub(crate) prints: OnceLock<RequestPrints>,
+    pub(crate) fingerprints: OnceLock<RequestPrints>,
 }
--- a/crates/pinhaven-entry/src/callers/mod.rs
+++ b/crates/pinhaven-entry/src/callers/mod.rs
@@ -6,7 +6,7 @@
 pub(crate) mod address;
 pub(crate) mod body;
 pub(crate) mod directory;
-pub(crate) mod hold;
 pub(crate) mod job;
 pub(crate) mod proxy;
+pub(crate) mod request_guard;
 pub(crate) mod routes;
--- a/crates/pinhaven-entry/src/callers/proxy.rs
+++ b/crates/pinhaven-entry/src/callers/proxy.rs
@@ -2,9 +2,9 @@
 
 use crate::callers::address;
 use crate::callers::body::BodyLimits;
-use crate::callers::body::take_body;
-use crate::callers::hold::CallerHold;
+use crate::callers::body::receive_body;
 use crate::callers::job::Job;
+use crate::callers::request_guard::RequestGuard;
 use crate::callers::routes::Routed;
 use crate::entry::BodyMemory;
 use crate::entry::Entry;
@@ -67,7 +67,7 @@
             }
         }
         Ok((job, memory)) => {
-            let hold = CallerHold {
+            let hold = RequestGuard {
                 _in_flight: Some(in_flight),
                 _memory: memory,
             };
@@ -136,7 +136,7 @@
         .plus(held_for(&facts, routed.config(), &service));
     let keeps_key = entry.keeps_once_keys() && has_key && !is_repeatable;
     let limits = body_limits(entry, &service, keeps_key);
-    let taken = async { Some(take_body(entry, body, limits).await) };
+    let taken = async { Some(receive_body(entry, body, limits).await) };
     let out_of_time = async {
         async_io::Timer::at(entry.clock.instant_of(deadline)).await;
         None
@@ -156,14 +156,14 @@
         uri: head.uri,
         headers: head.headers,
         deadline,
-        waited: waited_before(&facts, &routed),
+        prior_wait: waited_before(&facts, &routed),
         is_repeatable,
-        attempts_most: attempts_most(&facts, routed.config()),
+        attempts_max: attempts_most(&facts, routed.config()),
         body,
         service,
         routed,
         caller,
-        prints: OnceLock::new(),
+        fingerprints: OnceLock::new(),
     };
     Ok((job, memory))
 }
@@ -211,12 +211,12 @@
         limits.body_bytes.min(config.body_bytes)
     });
     BodyLimits {
-        held_bytes: if keeps_key {
+        buffered_bytes: if keeps_key {
             once::body_bytes_most(config)
         } else {
             config.replay_bytes
         },
-        taken_bytes,
+        accepted_bytes: taken_bytes,
     }
 }
 
--- a/crates/pinhaven-entry/src/callers/hold.rs
+++ b/crates/pinhaven-entry/src/callers/request_guard.rs
@@ -5,7 +5,7 @@
 
 /// What is held until the caller has its whole answer.
 #[derive(Default)]
-pub(crate) struct CallerHold {
+pub(crate) struct RequestGuard {
     /// The request's place among those under way.
     pub(crate) _in_flight: Option<InFlight>,
     /// The memory of its body.
--- a/crates/pinhaven-entry/src/crashes/prints.rs
+++ b/crates/pinhaven-entry/src/crashes/prints.rs
@@ -62,6 +62,6 @@
 impl Job {
     /// The prints of this request. They cost a hash of its body, so nobody asks before a target has crashed.
     pub(crate) fn prints(&self) -> RequestPrints {
-        *self.prints.get_or_init(|| RequestPrints::of(self))
+        *self.fingerprints.get_or_init(|| RequestPrints::of(self))
     }
 }
--- a/crates/pinhaven-entry/src/crashes/watch.rs
+++ b/crates/pinhaven-entry/src/crashes/watch.rs
@@ -129,7 +129,7 @@
 
     /// Takes in that a target answered a request well.
     pub(crate) fn watch_answer(&self, job: &Job) {
-        let was_at_crash = job.prints.get().is_some();
+        let was_at_crash = job.fingerprints.get().is_some();
         if !was_at_crash && !self.crashes.has_repeated() {
             return;
         }
--- a/crates/pinhaven-entry/src/once_only/once.rs
+++ b/crates/pinhaven-entry/src/once_only/once.rs
@@ -5,8 +5,8 @@
 
 use crate::callers::body::RequestBody;
 use crate::callers::body::too_large;
-use crate::callers::hold::CallerHold;
 use crate::callers::job::Job;
+use crate::callers::request_guard::RequestGuard;
 use crate::once_only::claims;
 use crate::once_only::relay;
 use crate::request::answer_body::collect_answer;
@@ -50,7 +50,7 @@
 }
 
 /// Answers a once-only request, here or at its home.
-pub(crate) async fn answer(job: Job, hold: CallerHold) -> Response<AnyBody> {
+pub(crate) async fn answer(job: Job, hold: RequestGuard) -> Response<AnyBody> {
     match find_home(&job).await {
         Err(problem) => without_proof(&job.headers, problem).into_response(),
         Ok((home, key, bytes)) => {
@@ -118,7 +118,7 @@
 /// Runs a request whose home is this entry. The work does not stop when the caller leaves.
 pub(crate) async fn run_at_home(
     job: Job,
-    hold: CallerHold,
+    hold: RequestGuard,
     epoch: Epoch,
     key: Digest,
     bytes: Bytes,
@@ -154,7 +154,7 @@
     }
 }
 
-async fn dispatch_once(job: Job, hold: CallerHold, claim: Claim) -> Response<AnyBody> {
+async fn dispatch_once(job: Job, hold: RequestGuard, claim: Claim) -> Response<AnyBody> {
     job.entry.counters.add(Count::OnceDispatched);
     let (head, body) = dispatch(&job, hold).await.into_parts();
     let run_state = head.headers.get(header::RUN).cloned();
--- a/crates/pinhaven-entry/src/once_only/relayed.rs
+++ b/crates/pinhaven-entry/src/once_only/relayed.rs
@@ -1,8 +1,8 @@
 //! Taking a once-only request that another entry relayed to its home, this entry.
 
 use crate::callers::body::RequestBody;
-use crate::callers::hold::CallerHold;
 use crate::callers::job::Job;
+use crate::callers::request_guard::RequestGuard;
 use crate::callers::routes::Routed;
 use crate::entry::Entry;
 use crate::once_only::once;
@@ -33,7 +33,7 @@
     let response = match take_relayed(entry, request) {
         Err(problem) => problem.into_response(),
         Ok(relayed) => {
-            let hold = CallerHold {
+            let hold = RequestGuard {
                 _in_flight: Some(entry.enter()),
                 _memory: None,
             };
@@ -88,12 +88,12 @@
         uri,
         headers: from_fields(request.headers),
         deadline: entry.now().plus(deadline),
-        waited: Microseconds::ZERO,
+        prior_wait: Microseconds::ZERO,
         is_repeatable: false,
-        attempts_most: None,
+        attempts_max: None,
         body: RequestBody::Whole(bytes.clone()),
         caller: None,
-        prints: OnceLock::new(),
+        fingerprints: OnceLock::new(),
     };
     Ok(Relayed {
         job,
--- a/crates/pinhaven-entry/src/request/answer_body.rs
+++ b/crates/pinhaven-entry/src/request/answer_body.rs
@@ -4,7 +4,7 @@
 //! can still be tried elsewhere. Larger ones are passed on as they come; a cut of those is a cut for the
 //! caller.
 
-use crate::callers::hold::CallerHold;
+use crate::callers::request_guard::RequestGuard;
 use crate::entry::Entry;
 use crate::request::places::Places;
 use crate::request::subject::Subject;
@@ -119,7 +119,7 @@
     /// What the record says of the request, if there is one.
     pub(crate) subject: Option<Subject>,
     /// Kept only to be dropped with the rest.
-    pub(crate) _hold: CallerHold,
+    pub(crate) _hold: RequestGuard,
 }
 
 impl Held {
--- a/crates/pinhaven-entry/src/request/dispatch.rs
+++ b/crates/pinhaven-entry/src/request/dispatch.rs
@@ -2,8 +2,8 @@
 //!
 //! Events go to a [`RequestState`], and the actions that come back are carried out.
 
-use crate::callers::hold::CallerHold;
 use crate::callers::job::Job;
+use crate::callers::request_guard::RequestGuard;
 use crate::request::answer_body::AnswerBody;
 use crate::request::answer_body::Held;
 use crate::request::attempt::Answer;
@@ -45,17 +45,17 @@
 use std::task::Poll;
 
 /// Drives a request to its final answer.
-pub(crate) async fn dispatch(job: &Job, hold: CallerHold) -> Response<AnyBody> {
+pub(crate) async fn dispatch(job: &Job, hold: RequestGuard) -> Response<AnyBody> {
     let facts = RequestFacts {
         is_repeatable: job.is_repeatable,
         is_replayable: job.body.is_replayable(),
         deadline: job.deadline,
         attempts_max: job
-            .attempts_most
+            .attempts_max
             .unwrap_or(RequestFacts::new(true, job.deadline).attempts_max),
         entry_utilization: job.entry.use_share(),
         priority: job.routed.config().map(|route| route.priority),
-        prior_wait: job.waited,
+        prior_wait: job.prior_wait,
     };
     let mut request = RequestState::new(facts);
     if let Some(route) = &job.routed.route {
@@ -88,7 +88,7 @@
     random: fastrand::Rng,
     under_way: Vec<UnderWay>,
     answers: Vec<(Attempt, Answer)>,
-    hold: CallerHold,
+    hold: RequestGuard,
     began: Microseconds,
     /// Whether a target may have run it in an attempt that has ended.
     may_have_run: bool,
@@ -196,7 +196,10 @@
         };
         let trace = std::mem::take(&mut self.trace);
         let aim_us = self.job.routed.config().map(|route| route.aim_ms * 1_000);
-        let took = entry.now().saturating_sub(self.began).plus(self.job.waited);
+        let took = entry
+            .now()
+            .saturating_sub(self.began)
+            .plus(self.job.prior_wait);
         let importance = trace.importance(took.count(), aim_us);
         subject.record_trace(entry, trace, importance);
     }
--- a/crates/pinhaven-entry/src/versions/fetch.rs
+++ b/crates/pinhaven-entry/src/versions/fetch.rs
@@ -131,7 +131,7 @@
             next = self.next_holder(&tried);
         }
         if away.is_some() {
-            self.miss_version("all that were asked are busy");
+            self.record_fetch_failure("all that were asked are busy");
         }
         away
     }
@@ -205,7 +205,7 @@
 
     /// Leaves a peer that failed.
     fn leave(&self, why: &str) -> Next {
-        self.miss_version(why);
+        self.record_fetch_failure(why);
         Next::Leave(Outcome::TryAnother)
     }
 
@@ -213,7 +213,7 @@
         let before = self.version.lock().version();
         let is_taken = self.adopt(move |entry| entry.take_arrived(arrived)).await;
         if !is_taken {
-            self.miss_version(&format!("what {peer} gave can't be put in force"));
+            self.record_fetch_failure(&format!("what {peer} gave can't be put in force"));
             return Outcome::TryAnother;
         }
         // A peer that gives what is here already must not be asked for it again and again.
--- a/crates/pinhaven-entry/src/watch/beliefs.rs
+++ b/crates/pinhaven-entry/src/watch/state_changes.rs
@@ -32,7 +32,7 @@
     }
 
     /// Takes in that a try to get a newer version failed, and tells so now and then.
-    pub(crate) fn miss_version(&self, why: &str) {
+    pub(crate) fn record_fetch_failure(&self, why: &str) {
         self.counters.add(Count::BundleFetchFailed);
         let mut lag = self.version_lag.lock();
         if !lag.record_failure(why.to_owned()) {
