--- a/crates/pinhaven-entry/src/watch/counters.rs
+++ b/crates/pinhaven-entry/src/watch/counters.rs
@@ -1,107 +1,107 @@
-//! Counters of what an entry did and why.
+//! Counters of an entry's events, among them refusals by reason.
 
 use pinhaven_decide::RefusalReason;
 use std::collections::BTreeMap;
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// What is counted besides refusals.
+/// Counted events other than refusals by [`RefusalReason`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(usize)]
 pub(crate) enum Count {
-    /// Requests taken in.
+    /// Requests received from callers.
     Requests,
     /// Requests answered by a target.
     Answered,
-    /// Address questions answered.
+    /// Requests for entry addresses.
     Addresses,
     /// Attempts sent to targets.
     Attempts,
-    /// Attempts that are proved not to have been sent.
+    /// Attempts that were provably not sent.
     AttemptNotSent,
-    /// Attempts that were not sent, as their target had begun to leave or to rest.
+    /// Attempts not sent because the target had begun to leave or to rest.
     AttemptClosed,
-    /// Attempts that a target shed.
+    /// Attempts that a target rejected to shed load.
     AttemptShed,
-    /// Attempts whose connection or answer broke.
+    /// Attempts whose connection or answer failed.
     AttemptBroken,
-    /// Attempts under way at a target that crashed.
+    /// Attempts in flight at a target that crashed.
     AttemptCrashed,
-    /// Attempts that were not sent, as their request crashes targets.
+    /// Attempts not sent because their request crashes targets.
     AttemptHeldBack,
     /// Answers that belonged to another request.
     AttemptCrossed,
-    /// Successes without the mark of a target's own answer.
+    /// Successful answers that lacked the mark of a target's own answer.
     AttemptForged,
-    /// Attempts at an address that another target has now.
+    /// Attempts at an address that belongs to another target now.
     AttemptMisdirected,
-    /// Answers whose end can't be told from a cut.
+    /// Answers whose end can't be distinguished from a truncation.
     AttemptUnbounded,
-    /// Answers that were cut while they were passed on.
+    /// Answers truncated while they were passed on.
     AnswerCut,
     /// Connections opened to targets.
     Connections,
-    /// Targets that said with an answer that they leave.
+    /// Targets that announced that they leave.
     TargetLeft,
-    /// Times that a target asked for a rest, or for a longer one.
+    /// Demands of targets for a rest or for a longer rest.
     TargetRests,
-    /// Rests that could not be read, or were longer than a target may ask for.
+    /// Demands for a rest that were malformed or longer than allowed.
     TargetRestBad,
     /// Probes sent.
     Probes,
     /// Probes that failed.
     ProbeFailed,
-    /// Requests with a bad head.
+    /// Requests with an invalid head.
     BadRequest,
-    /// Requests for a host that no service has.
+    /// Requests that match no route and no host of a service.
     UnknownService,
-    /// Requests with a body that is too large.
+    /// Requests with a body above the size limit.
     BodyTooLarge,
-    /// Requests whose body did not come whole.
+    /// Requests whose body did not arrive completely.
     BodyCut,
-    /// Requests refused because no version is in force here.
+    /// Requests refused because no bundle version is in force here.
     NotReady,
-    /// Requests refused because bodies fill the memory they may.
+    /// Requests refused because the memory for bodies is used up.
     BodyMemory,
-    /// Requests that need a key and have none.
+    /// Requests without the idempotency key that their route requires.
     KeyMissing,
     /// Once-only requests dispatched here.
     OnceDispatched,
     /// Once-only requests answered from the ledger.
     OnceReplayed,
-    /// Once-only requests repeated while they were in flight.
+    /// Repetitions of once-only requests that were still in flight.
     OnceInFlight,
-    /// Once-only requests answered with "unknown".
+    /// Once-only requests answered with an unknown outcome.
     OnceUnknown,
-    /// Keys used for two requests.
+    /// Keys that were used for two different requests.
     OnceOtherRequest,
-    /// Once-only requests refused for want of room.
+    /// Once-only requests refused because the ledger was full.
     OnceFull,
     /// Once-only requests relayed to their home.
     OnceRelayed,
-    /// Claims written at the platform.
+    /// Claims written to the platform.
     ClaimWritten,
-    /// Claims refused because too many were asked for.
+    /// Claims refused by the rate limit.
     ClaimRate,
-    /// Claims whose write failed or could not be settled.
+    /// Claims whose write failed or had no clear result.
     ClaimFailed,
     /// Bundle versions put in force.
     BundleInForce,
     /// Bundle versions refused.
     BundleRefused,
-    /// Tries to get a version from a peer that failed.
+    /// Failed attempts to fetch a bundle version from a peer.
     BundleFetchFailed,
-    /// Bytes of versions taken from peers.
+    /// Bytes of bundle versions received from peers.
     BundleBytes,
     /// Exchanges with peers.
     Exchanges,
-    /// Exchanges that failed.
+    /// Failed exchanges with peers.
     ExchangeFailed,
     /// Calls to the platform.
     PlatformCalls,
-    /// Calls to the platform that failed.
+    /// Failed calls to the platform.
     PlatformFailed,
-    /// Bytes sent to and received from peers, by message sizes.
+    /// Bytes of messages sent to and received from peers.
     PeerBytes,
 }
 
@@ -182,12 +182,12 @@
         self.refusals[reason as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// One counter.
+    /// Returns the value of a counter.
     pub(crate) fn get(&self, count: Count) -> u64 {
         self.counts[count as usize].load(Ordering::Relaxed)
     }
 
-    /// All counters by name.
+    /// Returns all counters by name.
     pub(crate) fn all(&self) -> BTreeMap<String, u64> {
         let counts = COUNT_NAMES
             .iter()
--- a/crates/pinhaven-entry/src/watch/latencies.rs
+++ b/crates/pinhaven-entry/src/watch/latencies.rs
@@ -1,29 +1,29 @@
-//! How long requests took, by route and outcome, and attempts, by target and outcome.
+//! Histograms of durations: of requests by route and outcome, and of attempts by target and outcome.
 
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
 
-/// The longest time that is told apart, in milliseconds; a route's timeout is shorter.
-const LONGEST_MS: u64 = 60_000;
-/// Digits that are kept of a time.
-const DIGITS: u8 = 1;
-/// Names and outcomes that have histograms of their own; those that come later share one an outcome. Each
-/// takes about 1 KB.
+/// Maximum duration that histograms distinguish, in milliseconds; the timeouts of routes are shorter.
+const DURATION_MAX_MS: u64 = 60_000;
+/// Significant digits of a recorded duration.
+const SIGNIFICANT_DIGITS: u8 = 1;
+/// Maximum number of names and outcomes with a histogram of their own; later names share one histogram
+/// per outcome. Each histogram takes about 1 KB.
 const HISTOGRAMS_MAX: usize = 64;
-/// Name under which they share it.
-const OTHER_NAMES: &str = "other";
-/// Shares of requests whose time is told.
+/// Name of the shared histograms.
+const SHARED_NAME: &str = "other";
+/// Quantiles that are reported.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Outcome {
-    /// A target's answer was passed on.
+    /// A target's answer was passed on to the caller.
     Answered,
-    /// It was refused, or given up on.
+    /// The request was refused or abandoned.
     Refused,
-    /// Its caller left.
+    /// The caller disconnected before its answer was complete.
     CallerLeft,
 }
 
@@ -37,17 +37,17 @@
     }
 }
 
-/// Histograms of times, by a name and an outcome.
+/// Histograms of durations by name and outcome.
 pub(crate) struct Latencies {
-    /// What the histograms are called outside.
+    /// Name of the metric.
     metric: &'static str,
-    /// What their names are names of.
+    /// Label that holds the name of a histogram.
     label: &'static str,
     histograms: Mutex<BTreeMap<(String, &'static str), Histogram<u32>>>,
 }
 
 impl Latencies {
-    /// None yet.
+    /// Creates an empty set of histograms.
     pub(crate) fn new(metric: &'static str, label: &'static str) -> Self {
         Self {
             metric,
@@ -56,38 +56,40 @@
         }
     }
 
-    /// Takes in that something took `took_ms`.
-    pub(crate) fn record(&self, name: &str, outcome: &'static str, took_ms: u64) {
+    /// Records a duration in the histogram of `name` and `outcome`, or in the shared histogram of `outcome` if
+    /// there is no histogram left.
+    pub(crate) fn record(&self, name: &str, outcome: &'static str, duration_ms: u64) {
         let mut histograms = self.histograms.lock();
         let is_full = histograms.len() >= HISTOGRAMS_MAX;
         let key = (name.to_owned(), outcome);
         let key = if is_full && !histograms.contains_key(&key) {
-            (OTHER_NAMES.to_owned(), outcome)
+            (SHARED_NAME.to_owned(), outcome)
         } else {
             key
         };
         if !histograms.contains_key(&key) {
-            let Ok(histogram) = Histogram::new_with_bounds(1, LONGEST_MS, DIGITS) else {
-                log::error!(target: "metrics", "The bounds of histograms are wrong.");
+            let Ok(histogram) = Histogram::new_with_bounds(1, DURATION_MAX_MS, SIGNIFICANT_DIGITS)
+            else {
+                log::error!(target: "metrics", "The bounds of histograms are invalid; the duration is not recorded.");
                 return;
             };
             histograms.insert(key.clone(), histogram);
         }
         if let Some(histogram) = histograms.get_mut(&key) {
-            histogram.saturating_record(took_ms.max(1));
+            histogram.saturating_record(duration_ms.max(1));
         }
     }
 
-    /// All of them as lines of the Prometheus text format.
+    /// Returns all histograms as lines of the Prometheus text format.
     pub(crate) fn lines(&self) -> Vec<String> {
         let (metric, label) = (self.metric, self.label);
         let mut lines = Vec::new();
         for ((name, outcome), histogram) in &*self.histograms.lock() {
             let labels = format!("{label}=\"{name}\",outcome=\"{outcome}\"");
             for quantile in QUANTILES {
-                let time_ms = histogram.value_at_quantile(quantile);
+                let value_ms = histogram.value_at_quantile(quantile);
                 lines.push(format!(
-                    "{metric}{{{labels},quantile=\"{quantile}\"}} {time_ms}"
+                    "{metric}{{{labels},quantile=\"{quantile}\"}} {value_ms}"
                 ));
             }
             let count = histogram.len();
--- a/crates/pinhaven-entry/src/watch/metrics.rs
+++ b/crates/pinhaven-entry/src/watch/metrics.rs
@@ -1,6 +1,6 @@
-//! Metrics as StatsD datagrams.
+//! Reports metrics as StatsD datagrams.
 //!
-//! The path of a request only adds to atomics; a task sends what was added once a second.
+//! Request handling only increments atomic counters. A task sends the increments and the gauges once a second.
 
 use crate::entry::Entry;
 use crate::error::EntryError;
@@ -19,12 +19,12 @@
 use std::net::UdpSocket;
 use std::sync::Arc;
 
-/// Start of each metric's name.
+/// Prefix of metric names.
 const PREFIX: &str = "pinhaven.entry";
-/// Time between two reports, in milliseconds.
-const REPORT_MS: u64 = 1_000;
+/// Interval between two reports, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// A client that sends to an address.
+/// Creates a client that sends to `peer`.
 pub(crate) fn connect(peer: SocketAddr) -> Result<StatsdClient, EntryError> {
     let error = |message: String| EntryError::System {
         step: EntryStep::PrepareMetrics,
@@ -47,11 +47,11 @@
 }
 
 impl Entry {
-    /// Sends metrics for ever.
+    /// Sends metrics periodically. Runs until the process exits.
     pub(crate) async fn report_metrics(self: Arc<Self>, client: StatsdClient) {
         let mut sent = BTreeMap::new();
         loop {
-            sleep_ms(REPORT_MS).await;
+            sleep_ms(REPORT_INTERVAL_MS).await;
             self.send_counters(&client, &mut sent);
             self.send_gauges(&client);
         }
@@ -73,7 +73,7 @@
         for (name, count) in counters {
             let before = sent.insert(name.clone(), count).unwrap_or_default();
             if count > before {
-                // A metric that can't be sent is sent with the next ones; nothing waits for it.
+                // An error is ignored: nothing waits for a metric, and later reports send later values.
                 let _ = client.count(&name, count - before);
             }
         }
--- a/crates/pinhaven-entry/src/watch/metrics_text.rs
+++ b/crates/pinhaven-entry/src/watch/metrics_text.rs
@@ -1,4 +1,4 @@
-//! Metrics as text, for whoever asks: the Prometheus exposition format.
+//! Metrics in the Prometheus text exposition format.
 
 use crate::entry::Entry;
 use crate::watch::status;
@@ -6,10 +6,10 @@
 use pinhaven_types::promise_check_count;
 use pinhaven_types::promise_violation_count;
 
-/// Where metrics are asked for.
+/// Path that serves the metrics.
 pub(crate) const PATH: &str = "/metrics";
 
-/// All metrics of an entry.
+/// Returns all metrics of an entry.
 pub(crate) fn text(entry: &Entry) -> String {
     let mut lines: Vec<String> = Vec::new();
     for (name, count) in entry.counters.all() {
@@ -38,7 +38,7 @@
     lines.join("\n")
 }
 
-/// How often rows of other writers were left out.
+/// Returns lines that count how often rows of other writers were skipped, by table, reason and key.
 fn foreign_row_lines(entry: &Entry) -> Vec<String> {
     let counts = entry.foreign_rows();
     let lines = counts.iter().map(|(row, count)| {
@@ -54,10 +54,10 @@
     let now = entry.now();
     let version = entry.snapshot.load().version.number();
     let (list_age_ms, list_revision) = {
-        let known = entry.targets.lock();
-        (known.age(now), known.list().revision)
+        let targets = entry.targets.lock();
+        (targets.age(now), targets.list().revision)
     };
-    let (known, behind_ms, failed_tries) = {
+    let (known_version, behind_ms, failed_tries) = {
         let lag = entry.version_lag.lock();
         let behind = lag.behind_for(now).unwrap_or_default();
         (lag.known(), behind.as_ms(), lag.failed_tries())
@@ -68,7 +68,7 @@
         format!("pinhaven_requests_held_back {held_back}"),
         format!("pinhaven_in_flight {}", entry.in_flight()),
         format!("pinhaven_version {version}"),
-        format!("pinhaven_version_known {}", known.number()),
+        format!("pinhaven_version_known {}", known_version.number()),
         format!("pinhaven_version_behind_ms {behind_ms:.0}"),
         format!("pinhaven_version_failed_tries {failed_tries}"),
         format!("pinhaven_list_revision {list_revision}"),
--- a/crates/pinhaven-entry/src/watch/mod.rs
+++ b/crates/pinhaven-entry/src/watch/mod.rs
@@ -1,6 +1,7 @@
-//! What operators see of this entry.
+//! Observability of this entry for operators.
 //!
-//! Counts, times and beliefs come in from everywhere; metrics, status and lines of the record go out.
+//! Input: counts, durations and state changes from all other modules. Output: metrics, the status and
+//! lines of the record.
 
 pub(crate) mod counters;
 pub(crate) mod latencies;
--- a/crates/pinhaven-entry/src/watch/state_changes.rs
+++ b/crates/pinhaven-entry/src/watch/state_changes.rs
@@ -1,4 +1,4 @@
-//! Recording what this entry comes to believe: of versions, targets, peers and the store.
+//! Records changes that this entry observes in versions, targets, peers and the store.
 
 use crate::entry::Entry;
 use crate::watch::counters::Count;
@@ -10,11 +10,11 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
 
-/// Peers that were last thought to be live, and whether they were stopping.
+/// Live peers at the last check, by instance, and whether each was stopping.
 pub(crate) type LivePeers = BTreeMap<String, bool>;
 
 impl Entry {
-    /// Records a line, where there is a record.
+    /// Records a line if there is a recorder. The line is built only then.
     pub(crate) fn record_line(&self, line: impl FnOnce() -> Line) {
         if let Some(recorder) = &self.recorder {
             recorder.record(line());
@@ -26,12 +26,13 @@
         self.record_line(|| Line::new(part, event, 0));
     }
 
-    /// Records a version that is in force or was refused.
+    /// Records that a version was put in force or refused.
     pub(crate) fn record_version(&self, event: &str, version: BundleVersion) {
         self.record_line(|| Line::new("bundle", event, 0).with("version", version.to_string()));
     }
 
-    /// Takes in that a try to get a newer version failed, and tells so now and then.
+    /// Records a failed attempt to fetch a newer version. Only the first failure and each doubling of the
+    /// number of failures are logged, so that repeated failures do not fill the log.
     pub(crate) fn record_fetch_failure(&self, why: &str) {
         self.counters.add(Count::BundleFetchFailed);
         let mut lag = self.version_lag.lock();
@@ -43,7 +44,7 @@
         drop(lag);
         log::warn!(
             target: "bundle",
-            "Version {known} is known for {behind_ms:.0} ms and not in force here; try {tries} failed: {why}."
+            "Version {known} has been known for {behind_ms:.0} ms but is not in force; attempt {tries} failed: {why}."
         );
         self.record_line(|| {
             Line::new("bundle", "behind", 0)
@@ -54,8 +55,8 @@
         });
     }
 
-    /// Records which targets came, started again, began to leave, are gone or came back between two
-    /// lists.
+    /// Records which targets were added, restarted, began to leave, stopped leaving or were removed between
+    /// two lists.
     pub(crate) fn record_targets(&self, before: &TargetList, after: &TargetList) {
         if self.recorder.is_none() {
             return;
@@ -63,13 +64,13 @@
         for (id, target) in &after.targets {
             match before.targets.get(id) {
                 None => self.record_target("seen", target, after.revision),
-                Some(known) if known.incarnation < target.incarnation => {
+                Some(previous) if previous.incarnation < target.incarnation => {
                     self.record_target("restarted", target, after.revision);
                 }
-                Some(known) if !known.is_leaving && target.is_leaving => {
+                Some(previous) if !previous.is_leaving && target.is_leaving => {
                     self.record_target("draining", target, after.revision);
                 }
-                Some(known) if known.is_leaving && !target.is_leaving => {
+                Some(previous) if previous.is_leaving && !target.is_leaving => {
                     self.record_target("back", target, after.revision);
                 }
                 Some(_) => {}
@@ -96,18 +97,18 @@
         });
     }
 
-    /// Records that the store answers again, or does not any more.
+    /// Records that the store has become available or unavailable.
     pub(crate) fn record_store(&self, answers: bool) {
         if self.store_answers.swap(answers, Ordering::Relaxed) != answers {
             self.record_event("store", if answers { "regained" } else { "lost" });
             if answers {
-                // A call that began before the outage is answered by nobody.
+                // Calls that began before the outage never get an answer, so they are restarted.
                 self.follow_anew.notify(usize::MAX);
             }
         }
     }
 
-    /// Records which peers came up, began to stop or were lost since the last call.
+    /// Records which peers appeared, began to stop or were lost since the last call, and updates `known`.
     pub(crate) fn record_peers(&self, known: &mut LivePeers) {
         if self.recorder.is_none() {
             return;
@@ -115,11 +116,11 @@
         let live: LivePeers = {
             let members = self.members.lock();
             let live = members.live_peers(self.now());
-            let named = live.into_iter().map(|row| {
+            let rows = live.into_iter().map(|row| {
                 let is_stopping = row.state >= MemberState::Stopping;
                 (row.instance_id.to_string(), is_stopping)
             });
-            named.collect()
+            rows.collect()
         };
         for (peer, is_stopping) in &live {
             match known.get(peer) {
--- a/crates/pinhaven-entry/src/watch/status.rs
+++ b/crates/pinhaven-entry/src/watch/status.rs
@@ -1,6 +1,6 @@
-//! What an entry tells operators, as JSON on its peer address.
+//! The status of an entry for operators, served as JSON on the entry's peer address.
 //!
-//! `GET /status` is answered there; the `instances`, `targets` and `bundle status` commands read it.
+//! `GET /status` returns an [`InstanceStatus`]; the `instances`, `targets` and `bundle status` commands read it.
 
 use crate::entry::Entry;
 use http::Response;
@@ -15,116 +15,116 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Where the status is asked for.
+/// Path that serves the status.
 pub(crate) const PATH: &str = "/status";
 
-/// All that an entry tells.
+/// Status of an entry.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct InstanceStatus {
-    /// What it says of itself.
+    /// Row that the entry publishes about itself.
     pub own: MemberRow,
-    /// The versions that it knows of.
+    /// Bundle versions that the entry knows.
     #[serde(default)]
     pub versions: VersionStatus,
-    /// Requests under way.
+    /// Requests in flight.
     pub in_flight: u32,
-    /// Records of once-only requests.
+    /// Number of records of once-only requests.
     pub ledger_records: usize,
-    /// The measuring seat it holds.
+    /// Measuring seat that the entry holds, if any.
     pub seat: Option<u32>,
     /// All counters by name.
     pub counters: BTreeMap<String, u64>,
-    /// The promises and how often they were looked at.
+    /// Check counts of the promises by name.
     pub promises: BTreeMap<String, PromiseStatus>,
-    /// The other entries as it sees them.
+    /// Other entries as this entry sees them.
     pub members: Vec<MemberStatus>,
-    /// The services and their targets as it sees them.
+    /// Services and their targets as this entry sees them.
     pub services: Vec<ServiceStatus>,
 }
 
-/// Which version an entry has, and how far it is behind.
+/// Bundle version that an entry has in force, and how far the entry is behind.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct VersionStatus {
-    /// The version in force.
+    /// Version in force.
     pub in_force: u64,
-    /// The newest that it knows to exist.
+    /// Newest known version.
     pub known: u64,
-    /// How long it has known of one that it lacks, in milliseconds; nothing when it has the newest.
+    /// Time since the entry learned of a version that it lacks, in milliseconds; `None` if it has the newest.
     pub behind_ms: Option<f64>,
-    /// Tries to get it that failed.
+    /// Number of failed attempts to fetch the newest version.
     pub failed_tries: u32,
-    /// Why the last one failed.
+    /// Reason of the last failure.
     pub last_failure: Option<String>,
 }
 
-/// How a promise fares.
+/// Check counts of a promise.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct PromiseStatus {
-    /// How often it was looked at.
+    /// Number of checks.
     pub checks: u64,
-    /// How often it did not hold.
+    /// Number of checks that found the promise broken.
     pub broken: u64,
 }
 
-/// Another entry.
+/// Status of another entry.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// What was last heard of it.
+    /// Row last received about the entry.
     pub row: MemberRow,
-    /// Whether its heart beats.
+    /// Whether heartbeats of the entry still arrive.
     pub is_live: bool,
 }
 
-/// A service.
+/// Status of a service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServiceStatus {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Requests at its targets.
+    /// Requests of this entry in flight at the service's targets.
     pub in_flight: u32,
-    /// Requests that wait for a place.
+    /// Requests that wait for capacity.
     pub waiting: u32,
-    /// Requests kept in flight at the most.
+    /// Maximum number of requests in flight.
     pub limit: f32,
     /// Delay of a hedge, in milliseconds.
     pub hedge_delay_ms: f64,
-    /// Hedges sent.
+    /// Number of hedges sent.
     pub hedges: u64,
-    /// Retries sent.
+    /// Number of retries sent.
     pub retries: u64,
-    /// Targets ejected so far.
+    /// Number of ejections of targets so far.
     pub ejections: u64,
-    /// Its targets.
+    /// Targets of the service.
     pub targets: Vec<TargetStatus>,
 }
 
-/// A target.
+/// Status of a target.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TargetStatus {
-    /// Where it listens.
+    /// Address where the target listens.
     pub address: String,
-    /// Where it stands.
+    /// Failure domain of the target.
     pub failure_domain: String,
-    /// Requests of this entry at it.
+    /// Requests of this entry in flight at the target.
     pub in_flight: u32,
-    /// Requests of others that it is thought to hold.
+    /// Estimated requests of other entries at the target.
     pub others: f32,
-    /// Its recent latency, in milliseconds.
+    /// Recent latency, in milliseconds.
     pub latency_ms: f32,
-    /// `live`, `ejected`, `resting` or `leaving`.
+    /// State of the target: `live`, `ejected`, `resting` or `leaving`.
     pub state: String,
-    /// What is left of the rest that it asked for, in milliseconds.
+    /// Remaining time of the rest that the target asked for, in milliseconds.
     #[serde(default)]
     pub rests_for_ms: Option<f64>,
-    /// How many times longer than usual work takes there, as it last said.
+    /// Slowdown relative to the usual speed, as the target last reported.
     #[serde(default)]
     pub slowdown: f32,
-    /// Age of that word, in milliseconds; nothing when it never said any.
+    /// Age of that report, in milliseconds; `None` if there is none.
     #[serde(default)]
     pub report_age_ms: Option<f64>,
 }
 
-/// Answers the question for the status.
+/// Answers a request for the status.
 pub(crate) fn answer(entry: &Entry) -> Response<AnyBody> {
     match serde_json::to_vec(&status_of(entry)) {
         Ok(bytes) => Response::new(whole_body(bytes)),
@@ -140,11 +140,11 @@
     let now = entry.now();
     let members = entry.members.lock();
     let own = members.own().clone();
-    let others = members.peers().map(|member| MemberStatus {
+    let peers = members.peers().map(|member| MemberStatus {
         row: member.row.clone(),
         is_live: members.is_live(member, now),
     });
-    let others = others.collect();
+    let peers = peers.collect();
     drop(members);
     InstanceStatus {
         own,
@@ -154,7 +154,7 @@
         seat: entry.seats.lock().seat(now),
         counters: entry.counters.all(),
         promises: promises(),
-        members: others,
+        members: peers,
         services: services_of(entry),
     }
 }
