--- a/crates/pinhaven-entry/src/crashes/fingerprints.rs
+++ b/crates/pinhaven-entry/src/crashes/fingerprints.rs
@@ -63,6 +63,8 @@
     /// Fingerprints of this request, computed on first use because they require a hash of the body. They are not needed
     /// until a target has crashed.
     pub(crate) fn fingerprints(&self) -> RequestFingerprints {
-        *self.prints.get_or_init(|| RequestFingerprints::of(self))
+        *self
+            .fingerprints
+            .get_or_init(|| RequestFingerprints::of(self))
     }
 }
--- a/crates/pinhaven-entry/src/crashes/watch.rs
+++ b/crates/pinhaven-entry/src/crashes/watch.rs
@@ -137,7 +137,7 @@
 
     /// Records a success of a request if there is evidence on the request or some request was in flight at two crashes.
     pub(crate) fn watch_answer(&self, job: &Job) {
-        let was_at_crash = job.prints.get().is_some();
+        let was_at_crash = job.fingerprints.get().is_some();
         if !was_at_crash && !self.crashes.has_repeated() {
             return;
         }
--- a/crates/pinhaven-entry/src/request/answer_body.rs
+++ b/crates/pinhaven-entry/src/request/answer_body.rs
@@ -4,7 +4,7 @@
 //! truncated can still be retried at another target. A larger body is streamed; if the target truncates it, the
 //! caller's connection is aborted, so that the caller sees the truncation too.
 
-use crate::callers::hold::CallerHold;
+use crate::callers::request_guard::RequestGuard;
 use crate::entry::Entry;
 use crate::request::capacity_waiters::CapacityWaiters;
 use crate::request::record_context::RecordContext;
@@ -121,7 +121,7 @@
     /// Facts for record lines on the request; `None` if the entry has no recorder.
     pub(crate) record_context: Option<RecordContext>,
     /// Held only for its `Drop`.
-    pub(crate) _request_guard: CallerHold,
+    pub(crate) _request_guard: RequestGuard,
 }
 
 impl AnswerGuard {
--- a/crates/pinhaven-entry/src/request/dispatch.rs
+++ b/crates/pinhaven-entry/src/request/dispatch.rs
@@ -4,8 +4,8 @@
 //! actions that the state returns: send or cancel an attempt, deliver an answer, or refuse the request. The request's
 //! trace is recorded when the driver is dropped, so that it is recorded even if the caller disconnects.
 
-use crate::callers::hold::CallerHold;
 use crate::callers::job::Job;
+use crate::callers::request_guard::RequestGuard;
 use crate::request::answer_body::AnswerBody;
 use crate::request::answer_body::AnswerGuard;
 use crate::request::attempt::Answer;
@@ -47,17 +47,17 @@
 use std::task::Poll;
 
 /// Drives a request to its final answer, which is a target's answer or a refusal.
-pub(crate) async fn dispatch(job: &Job, request_guard: CallerHold) -> Response<AnyBody> {
+pub(crate) async fn dispatch(job: &Job, request_guard: RequestGuard) -> Response<AnyBody> {
     let facts = RequestFacts {
         is_repeatable: job.is_repeatable,
         is_replayable: job.body.is_replayable(),
         deadline: job.deadline,
         attempts_max: job
-            .attempts_most
+            .attempts_max
             .unwrap_or(RequestFacts::new(true, job.deadline).attempts_max),
         entry_utilization: job.entry.utilization(),
         priority: job.routed.config().map(|route| route.priority),
-        prior_wait: job.waited,
+        prior_wait: job.prior_wait,
     };
     let mut request = RequestState::new(facts);
     if let Some(route) = &job.routed.route {
@@ -92,7 +92,7 @@
     in_flight: Vec<AttemptInFlight>,
     /// Answers received and not yet delivered; their attempts still hold capacity.
     answers: Vec<(Attempt, Answer)>,
-    request_guard: CallerHold,
+    request_guard: RequestGuard,
     started_at: Microseconds,
     /// Whether a target may have run the request in an attempt that has ended.
     may_have_run: bool,
@@ -204,7 +204,7 @@
         let elapsed = entry
             .now()
             .saturating_sub(self.started_at)
-            .plus(self.job.waited);
+            .plus(self.job.prior_wait);
         let importance = trace.importance(elapsed.count(), aim_us);
         context.record_trace(entry, trace, importance);
     }
--- a/crates/pinhaven-entry/src/versions/fetch.rs
+++ b/crates/pinhaven-entry/src/versions/fetch.rs
@@ -136,7 +136,7 @@
             next = self.next_holder(&tried);
         }
         if retry_after.is_some() {
-            self.miss_version("all that were asked are busy");
+            self.record_fetch_failure("all that were asked are busy");
         }
         retry_after
     }
@@ -216,7 +216,7 @@
 
     /// Records the failure of a peer and ends the fetch from it.
     fn abandon_peer(&self, reason: &str) -> NextStep {
-        self.miss_version(reason);
+        self.record_fetch_failure(reason);
         NextStep::End(Outcome::TryAnother)
     }
 
@@ -230,7 +230,7 @@
             .adopt(move |entry| entry.accept_received(received))
             .await;
         if !is_accepted {
-            self.miss_version(&format!("what {peer} gave can't be put in force"));
+            self.record_fetch_failure(&format!("what {peer} gave can't be put in force"));
             return Outcome::TryAnother;
         }
         // A peer that serves only versions already in force must not be tried again in this round.
--- a/crates/pinhaven-entry/src/watch/mod.rs
+++ b/crates/pinhaven-entry/src/watch/mod.rs
@@ -1,10 +1,11 @@
-//! What operators see of this entry.
+//! Observability of this entry for operators.
 //!
-//! Counts, times and beliefs come in from everywhere; metrics, status and lines of the record go out.
+//! Input: counts, durations and state changes from all other modules. Output: metrics, the status and
+//! lines of the record.
 
-pub(crate) mod beliefs;
 pub(crate) mod counters;
 pub(crate) mod latencies;
 pub(crate) mod metrics;
 pub(crate) mod metrics_text;
+pub(crate) mod state_changes;
 pub(crate) mod status;
