--- a/crates/pinhaven-entry/src/callers/proxy.rs
+++ b/crates/pinhaven-entry/src/callers/proxy.rs
@@ -8,7 +8,7 @@
 use crate::callers::routes::Routed;
 use crate::entry::BodyMemory;
 use crate::entry::Entry;
-use crate::once_only::once;
+use crate::once_only::execute;
 use crate::request::dispatch::dispatch;
 use crate::versions::service_entry::ServiceEntry;
 use crate::watch::counters::Count;
@@ -62,7 +62,7 @@
         Err(problem) => {
             record_problem(&entry, id.as_deref(), &problem);
             match keyed_headers {
-                Some(headers) => once::without_proof(&headers, problem).into_response(),
+                Some(headers) => execute::without_proof(&headers, problem).into_response(),
                 None => problem.into_response(),
             }
         }
@@ -72,7 +72,7 @@
                 _memory: memory,
             };
             if entry.keeps_once_keys() && is_keyed && !job.is_repeatable {
-                once::answer(job, hold).await
+                execute::answer(job, hold).await
             } else {
                 dispatch(&job, hold).await
             }
@@ -212,7 +212,7 @@
     });
     BodyLimits {
         held_bytes: if keeps_key {
-            once::body_bytes_most(config)
+            execute::body_bytes_most(config)
         } else {
             config.replay_bytes
         },
--- a/crates/pinhaven-entry/src/once_only/once.rs
+++ b/crates/pinhaven-entry/src/once_only/execute.rs
@@ -8,7 +8,7 @@
 use crate::callers::hold::CallerHold;
 use crate::callers::job::Job;
 use crate::once_only::claims;
-use crate::once_only::relay;
+use crate::once_only::relay_client;
 use crate::request::answer_body::collect_answer;
 use crate::request::dispatch::dispatch;
 use crate::watch::counters::Count;
@@ -57,7 +57,7 @@
             if home.incarnation == job.entry.incarnation {
                 run_at_home(job, hold, home.epoch, key, bytes).await
             } else {
-                relay::to_home(&job, home, key, bytes).await
+                relay_client::to_home(&job, home, key, bytes).await
             }
         }
     }
--- a/crates/pinhaven-entry/src/once_only/mod.rs
+++ b/crates/pinhaven-entry/src/once_only/mod.rs
@@ -5,6 +5,6 @@
 
 pub(crate) mod claim_rate;
 pub(crate) mod claims;
-pub(crate) mod once;
-pub(crate) mod relay;
-pub(crate) mod relayed;
+pub(crate) mod execute;
+pub(crate) mod relay_client;
+pub(crate) mod relay_server;
--- a/crates/pinhaven-entry/src/once_only/relayed.rs
+++ b/crates/pinhaven-entry/src/once_only/relay_server.rs
@@ -5,10 +5,10 @@
 use crate::callers::job::Job;
 use crate::callers::routes::Routed;
 use crate::entry::Entry;
-use crate::once_only::once;
-use crate::once_only::relay::from_fields;
-use crate::once_only::relay::home_lost;
-use crate::once_only::relay::to_fields;
+use crate::once_only::execute;
+use crate::once_only::relay_client::from_fields;
+use crate::once_only::relay_client::home_lost;
+use crate::once_only::relay_client::to_fields;
 use crate::watch::counters::Count;
 use crate::wire::problem::Problem;
 use bytes::Bytes;
@@ -43,7 +43,7 @@
                 key,
                 bytes,
             } = relayed;
-            once::run_at_home(job, hold, home.epoch, key, bytes).await
+            execute::run_at_home(job, hold, home.epoch, key, bytes).await
         }
     };
     to_answer(response).await
--- a/crates/pinhaven-entry/src/peers/gossip.rs
+++ b/crates/pinhaven-entry/src/peers/gossip.rs
@@ -5,7 +5,7 @@
 
 use crate::crashes::news::TOLD_BESIDE;
 use crate::entry::Entry;
-use crate::once_only::relayed;
+use crate::once_only::relay_server;
 use crate::peers::gossip_message::BEATS_MAX;
 use crate::peers::gossip_message::beat_of;
 use crate::peers::gossip_message::identity_of;
@@ -300,7 +300,7 @@
         &self,
         request: Request<RelayOnceRequest>,
     ) -> Result<Response<RelayOnceResponse>, Status> {
-        let answer = relayed::answer_relayed(&self.0, request.into_inner()).await;
+        let answer = relay_server::answer_relayed(&self.0, request.into_inner()).await;
         Ok(Response::new(answer))
     }
 }
