--- a/crates/pinhaven-entry/src/entry.rs
+++ b/crates/pinhaven-entry/src/entry.rs
@@ -5,8 +5,8 @@
 use crate::crashes::watch::CrashWatch;
 use crate::once_only::claim_rate::ClaimRate;
 use crate::peers::news_message::PeerCounts;
-use crate::targets::leaving_targets::LeavingNews;
-use crate::targets::reported_leaves::HeardLeaves;
+use crate::targets::leaving_targets::LeavingTargets;
+use crate::targets::reported_leaves::ReportedLeaves;
 use crate::targets::restarts::Restarts;
 use crate::versions::snapshot::Snapshot;
 use crate::versions::store_pace;
@@ -141,9 +141,9 @@
     pub(crate) ledger: Mutex<Ledger>,
     pub(crate) members: Mutex<Membership>,
     pub(crate) seats: Mutex<SeatKeeper>,
-    pub(crate) leaving: Mutex<LeavingNews>,
+    pub(crate) leaving: Mutex<LeavingTargets>,
     /// Targets that told this entry themselves that they leave, for the others.
-    pub(crate) heard_leaves: Mutex<HeardLeaves>,
+    pub(crate) heard_leaves: Mutex<ReportedLeaves>,
     pub(crate) unknown_members: Mutex<BTreeSet<Incarnation>>,
     pub(crate) news: event_listener::Event,
     /// Whether this entry has known all that it needs to serve.
@@ -225,7 +225,7 @@
             ledger: Mutex::new(Ledger::new(limits)),
             members: Mutex::new(Membership::new(row, silent_after)),
             seats: Mutex::new(SeatKeeper::new(incarnation, 0)),
-            leaving: Mutex::new(LeavingNews::default()),
+            leaving: Mutex::new(LeavingTargets::default()),
             heard_leaves: Mutex::default(),
             unknown_members: Mutex::new(BTreeSet::new()),
             news: event_listener::Event::new(),
--- a/crates/pinhaven-entry/src/peers/gossip.rs
+++ b/crates/pinhaven-entry/src/peers/gossip.rs
@@ -97,7 +97,7 @@
     fn beat(&self) -> bool {
         let snapshot = self.snapshot.load();
         let now = self.now();
-        let has_news = self.leaving.lock().gather(&snapshot, now);
+        let has_news = self.leaving.lock().collect(&snapshot, now);
         let epoch = self.ledger.lock().epoch().0;
         let mut members = self.members.lock();
         members.advance_heartbeat(snapshot.version, epoch);
@@ -141,13 +141,13 @@
             sender: Some(identity_of(members.own())),
             beats: some_beats(members.rows()),
             wanted: wanted.iter().take(WANTED_MAX).map(to_bytes).collect(),
-            leaving: self.leaving.lock().fresh(self.now()),
+            leaving: self.leaving.lock().recent(self.now()),
         }
     }
 
     /// Takes a peer's answer in; returns the version that the peer itself has in force.
     fn take_response(&self, response: ExchangeResponse) -> BundleVersion {
-        self.hear_leaving(&response.leaving);
+        self.apply_leaving(&response.leaving);
         self.hear_suspects(&response.suspects);
         let newest = self.hear_sender(response.sender, &response.beats);
         for identity in response.identities {
@@ -271,7 +271,7 @@
         let entry = &self.0;
         let request = request.into_inner();
         let received = request.encoded_len() as u64;
-        entry.hear_leaving(&request.leaving);
+        entry.apply_leaving(&request.leaving);
         entry.hear_suspects(&request.suspects);
         let sender = request.sender.as_ref().and_then(peer_address_of);
         let newest = entry.hear_sender(request.sender, &request.beats);
@@ -327,7 +327,7 @@
         sender,
         beats,
         identities,
-        leaving: entry.leaving.lock().fresh(entry.now()),
+        leaving: entry.leaving.lock().recent(entry.now()),
         suspects,
     }
 }
--- a/crates/pinhaven-entry/src/peers/news.rs
+++ b/crates/pinhaven-entry/src/peers/news.rs
@@ -341,7 +341,7 @@
         };
         let leaving = match extent {
             Extent::Round => Vec::new(),
-            Extent::Whole { .. } => self.leaves_to_tell(),
+            Extent::Whole { .. } => self.leaves_to_advertise(),
         };
         let members = self.members.lock();
         let own = members.own();
--- a/crates/pinhaven-entry/src/peers/news_hearing.rs
+++ b/crates/pinhaven-entry/src/peers/news_hearing.rs
@@ -62,7 +62,7 @@
         }
         self.hear_beats(&news.beats);
         self.hear_suspects(&news.suspects);
-        self.hear_leaves(&news.leaving);
+        self.apply_reported_leaves(&news.leaving);
         let targets = news.targets.unwrap_or_default().rows();
         self.hear_targets(incarnation, &beat, &targets, news.is_whole);
         let calls_at = self.calls_at(incarnation).unwrap_or(peer);
@@ -71,7 +71,7 @@
             let age = list
                 .age_ms
                 .map(|age_ms| Microseconds::from_ms(u64::from(age_ms)));
-            self.hear_list(calls_at, list.revision, list.digest, age);
+            self.learn_list(calls_at, list.revision, list.digest, age);
             if let Some(steady_ms) = list.steady_ms {
                 let steady = Microseconds::from_ms(u64::from(steady_ms));
                 let since = self.now().saturating_sub(steady);
--- a/crates/pinhaven-entry/src/request/answer_body.rs
+++ b/crates/pinhaven-entry/src/request/answer_body.rs
@@ -8,7 +8,7 @@
 use crate::entry::Entry;
 use crate::request::places::Places;
 use crate::request::subject::Subject;
-use crate::targets::pool::ReturnSender;
+use crate::targets::pool::PooledSender;
 use crate::watch::counters::Count;
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -115,7 +115,7 @@
     pub(crate) entry: Arc<Entry>,
     pub(crate) attempt: Option<Attempt>,
     pub(crate) place_freed: Arc<Places>,
-    pub(crate) sender: ReturnSender,
+    pub(crate) sender: PooledSender,
     /// What the record says of the request, if there is one.
     pub(crate) subject: Option<Subject>,
     /// Kept only to be dropped with the rest.
@@ -212,7 +212,7 @@
         if let Some(mut held) = self.held.take()
             && holds
         {
-            held.sender.finished();
+            held.sender.release();
         }
         holds
     }
--- a/crates/pinhaven-entry/src/request/attempt.rs
+++ b/crates/pinhaven-entry/src/request/attempt.rs
@@ -6,10 +6,10 @@
 use crate::request::answer_body::is_bounded;
 use crate::targets::orders::OrderSource;
 use crate::targets::pool;
-use crate::targets::pool::IDLE_MOST;
-use crate::targets::pool::IDLE_MOST_ONCE;
+use crate::targets::pool::IDLE_MAX;
+use crate::targets::pool::IDLE_MAX_ONCE;
+use crate::targets::pool::SendResult;
 use crate::targets::pool::Sender;
-use crate::targets::pool::Sent;
 use crate::targets::pool::TargetPool;
 use crate::versions::service_entry::ServiceEntry;
 use crate::watch::counters::Count;
@@ -94,9 +94,9 @@
     };
     let id = job.entry.dialect.write_attempt(headers, &facts);
     let idle_most = if job.is_repeatable {
-        IDLE_MOST
+        IDLE_MAX
     } else {
-        IDLE_MOST_ONCE
+        IDLE_MAX_ONCE
     };
     Some(Prepared {
         request,
@@ -118,7 +118,7 @@
     let end = send_attempt(entry, service, &target, &pool, prepared).await;
     let is_broken = matches!(end, AttemptEnd::Broken | AttemptEnd::Cut);
     // A target that leaves ends as planned, also when it cuts what it had.
-    if is_broken && !target.is_leaving() && pool.is_refused(address).await {
+    if is_broken && !target.is_leaving() && pool.is_connection_refused(address).await {
         return AttemptEnd::Crashed;
     }
     end
@@ -151,7 +151,7 @@
         }
         // The target may have asked to be left or let rest while the connection was made.
         let Ok(permit) = target.send_permit(entry.now()) else {
-            pool.keep(connected.sender);
+            pool.put(connected.sender);
             return AttemptEnd::Closed;
         };
         let sending = pool::send(permit, connected.sender, request);
@@ -160,7 +160,7 @@
             return AttemptEnd::Restarted;
         };
         match sent {
-            Sent::Answer(response, sender) => {
+            SendResult::Answer(response, sender) => {
                 let id = id.as_ref();
                 return match check_answer(&entry, &service, target, &response, id) {
                     Ok(facts) => {
@@ -171,8 +171,8 @@
                     Err(end) => end,
                 };
             }
-            Sent::Unsent(unsent) => request = *unsent,
-            Sent::Broken(error) => {
+            SendResult::Unsent(unsent) => request = *unsent,
+            SendResult::Broken(error) => {
                 log::debug!(target: "proxy", "Sending to {address} broke: {error}.");
                 return AttemptEnd::Broken;
             }
@@ -198,7 +198,7 @@
     }
     // Whosever answer it is, and whatever is wrong with it, what the target asks for with it holds.
     let orders = entry.dialect.read_orders(status, headers);
-    entry.hear_orders(service, target, &orders, OrderSource::Answer);
+    entry.apply_orders(service, target, &orders, OrderSource::Answer);
     if !entry.dialect.is_answer_to(headers, id, &service.config) {
         entry.counters.add(Count::AttemptCrossed);
         // Whosever answer it is, the report on it is the target's.
--- a/crates/pinhaven-entry/src/request/dispatch.rs
+++ b/crates/pinhaven-entry/src/request/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::request::attempt::request_for;
 use crate::request::attempt::run_attempt;
 use crate::request::subject::Subject;
-use crate::targets::pool::ReturnSender;
+use crate::targets::pool::PooledSender;
 use crate::watch::counters::Count;
 use crate::watch::latencies::Outcome;
 use crate::wire::header;
@@ -412,7 +412,7 @@
         let held = Held {
             entry: Arc::clone(&self.job.entry),
             place_freed: Arc::clone(&self.job.service.place_freed),
-            sender: ReturnSender::new(pool.cloned().unwrap_or_default(), answer.sender),
+            sender: PooledSender::new(pool.cloned().unwrap_or_default(), answer.sender),
             attempt: Some(attempt),
             subject: Subject::new(self.job),
             _hold: std::mem::take(&mut self.hold),
--- a/crates/pinhaven-entry/src/start.rs
+++ b/crates/pinhaven-entry/src/start.rs
@@ -158,7 +158,7 @@
 fn run_beside(entry: &Arc<Entry>) {
     spawn(Arc::clone(entry).follow_bundles()).detach();
     spawn(Arc::clone(entry).gossip()).detach();
-    spawn(Arc::clone(entry).keep_seat()).detach();
+    spawn(Arc::clone(entry).maintain_seat()).detach();
     spawn(Arc::clone(entry).probe()).detach();
     spawn(Arc::clone(entry).count_epochs()).detach();
     spawn(Arc::clone(entry).announce_start()).detach();
@@ -169,7 +169,7 @@
 fn run_beside_discovered(entry: &Arc<Entry>, news_address: SocketAddr) -> Result<(), EntryError> {
     let socket = news::listen(news_address)?;
     spawn(Arc::clone(entry).follow_configuration()).detach();
-    spawn(Arc::clone(entry).keep_target_list()).detach();
+    spawn(Arc::clone(entry).maintain_target_list()).detach();
     spawn(Arc::clone(entry).keep_membership()).detach();
     spawn(Arc::clone(entry).hear_news(Arc::clone(&socket))).detach();
     spawn(Arc::clone(entry).tell_news(Arc::clone(&socket))).detach();
--- a/crates/pinhaven-entry/src/targets/added_attempts.rs
+++ b/crates/pinhaven-entry/src/targets/added_attempts.rs
@@ -6,9 +6,9 @@
 /// Share of the extra added attempts that goes to the entries that serve.
 const SERVING_EXTRA_SHARE: f64 = 0.8;
 /// Share of an entry's extra added attempts that hedges may use at once.
-const HEDGES_AT_ONCE: f64 = 0.45;
+const HEDGE_BURST_SHARE: f64 = 0.45;
 /// The same for retries. What is left covers entries that have just begun and those that are gone.
-const RETRIES_AT_ONCE: f64 = 0.35;
+const RETRY_BURST_SHARE: f64 = 0.35;
 
 impl Entry {
     /// Sets how many added attempts this entry may make at once: its part of what all may together.
@@ -16,9 +16,9 @@
         let Some(discovery) = &self.settings.discovery else {
             return;
         };
-        let part = self.part_of_added_attempts(discovery.added_attempts_extra);
+        let own_extra = self.own_added_attempts_extra(discovery.added_attempts_extra);
         for service in self.snapshot.load().services.values() {
-            let (hedges, retries) = (part * HEDGES_AT_ONCE, part * RETRIES_AT_ONCE);
+            let (hedges, retries) = (own_extra * HEDGE_BURST_SHARE, own_extra * RETRY_BURST_SHARE);
             service
                 .state
                 .set_added_attempt_burst(hedges as f32, retries as f32);
@@ -26,7 +26,7 @@
     }
 
     /// Those that serve share most of it; the rest is for callers that still use others.
-    fn part_of_added_attempts(&self, extra: f64) -> f64 {
+    fn own_added_attempts_extra(&self, extra: f64) -> f64 {
         let members = self.members.lock();
         let now = self.now();
         let own = members.own();
--- a/crates/pinhaven-entry/src/targets/leaving.rs
+++ b/crates/pinhaven-entry/src/targets/leaving.rs
@@ -12,10 +12,10 @@
 impl Entry {
     /// Takes news of leaving targets in. News from another version is left out: the target may have
     /// been put back since.
-    pub(crate) fn hear_leaving(&self, news: &[Leaving]) {
+    pub(crate) fn apply_leaving(&self, updates: &[Leaving]) {
         let snapshot = self.snapshot.load();
-        let mut is_news = false;
-        for leaving in news {
+        let mut has_changed = false;
+        for leaving in updates {
             if leaving.version != snapshot.version.number() {
                 continue;
             }
@@ -26,15 +26,15 @@
             let service: ServiceName = service;
             let state = snapshot.services.get(&service);
             if let Some(target) = state.and_then(|entry| entry.state.target(target))
-                && is_of(leaving, target)
+                && is_same_run(leaving, target)
                 && !target.is_leaving()
             {
                 log::info!(target: "leaving", "Target {} of {service} is leaving.", target.address());
                 target.mark_leaving();
-                is_news = true;
+                has_changed = true;
             }
         }
-        if is_news {
+        if has_changed {
             self.news.notify(usize::MAX);
         }
     }
@@ -42,9 +42,9 @@
 
 /// Whether news is of this run of a target. News without a key, as entries of older versions send it, may
 /// be of an earlier run.
-fn is_of(news: &Leaving, target: &TargetState) -> bool {
-    match news.key {
-        Some(_) => news.key == target.key(),
+fn is_same_run(leaving: &Leaving, target: &TargetState) -> bool {
+    match leaving.key {
+        Some(_) => leaving.key == target.key(),
         None => target.incarnation().is_none(),
     }
 }
--- a/crates/pinhaven-entry/src/targets/leaving_targets.rs
+++ b/crates/pinhaven-entry/src/targets/leaving_targets.rs
@@ -9,11 +9,11 @@
 use std::collections::BTreeMap;
 
 /// How long news is passed on.
-const PASS_ON_FOR: Microseconds = Microseconds::from_ms(10_000);
+const ADVERTISE_FOR: Microseconds = Microseconds::from_ms(10_000);
 
 /// A run of a target that is leaving.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct LeavingTarget {
+struct LeavingRun {
     service: ServiceName,
     address: TargetAddress,
     /// Tells it from another target or a later run at the address.
@@ -25,14 +25,14 @@
 /// News belongs to a version: a target that left in one may be put back by the next, and must not be
 /// taken out again by what was still gathered from the one before.
 #[derive(Default)]
-pub(crate) struct LeavingNews {
+pub(crate) struct LeavingTargets {
     version: BundleVersion,
-    since: BTreeMap<LeavingTarget, Microseconds>,
+    since: BTreeMap<LeavingRun, Microseconds>,
 }
 
-impl LeavingNews {
+impl LeavingTargets {
     /// Takes in all targets that are marked as leaving. Returns whether any was new.
-    pub(crate) fn gather(&mut self, snapshot: &Snapshot, now: Microseconds) -> bool {
+    pub(crate) fn collect(&mut self, snapshot: &Snapshot, now: Microseconds) -> bool {
         if snapshot.version < self.version {
             return false;
         }
@@ -44,7 +44,7 @@
         for (name, service) in &snapshot.services {
             for target in service.state.targets() {
                 if target.is_leaving() {
-                    let leaving = LeavingTarget {
+                    let leaving = LeavingRun {
                         service: name.clone(),
                         address: target.address(),
                         key: target.key(),
@@ -57,10 +57,10 @@
     }
 
     /// News that is still worth passing on.
-    pub(crate) fn fresh(&self, now: Microseconds) -> Vec<Leaving> {
+    pub(crate) fn recent(&self, now: Microseconds) -> Vec<Leaving> {
         self.since
             .iter()
-            .filter(|(_, since)| now.saturating_sub(**since) < PASS_ON_FOR)
+            .filter(|(_, since)| now.saturating_sub(**since) < ADVERTISE_FOR)
             .map(|(leaving, _)| Leaving {
                 service: leaving.service.to_string(),
                 target: leaving.address.to_string(),
--- a/crates/pinhaven-entry/src/targets/listed_targets.rs
+++ b/crates/pinhaven-entry/src/targets/listed_targets.rs
@@ -32,7 +32,7 @@
 pub(crate) const TARGET_STEPS_PATH: &str = "/targets/steps";
 /// The shortest and the longest pause before it is asked again whether the list has to be read, in
 /// milliseconds. Ranks change when entries come and go.
-const LIST_PAUSE_MS: (u64, u64) = (5, 200);
+const LIST_POLL_MS: (u64, u64) = (5, 200);
 /// How long a peer may take to begin its answer and for each further piece of its list, in milliseconds.
 const PEER_TIMEOUT_MS: u64 = 500;
 /// How long the whole list may take, in milliseconds. With 15,000 targets it has 3 MB, which a link of
@@ -41,8 +41,8 @@
 
 impl Entry {
     /// Reads the list of targets whenever it is this entry's turn, for ever.
-    pub(crate) async fn keep_target_list(self: Arc<Self>) {
-        let mut pause = RetryBackoff::default();
+    pub(crate) async fn maintain_target_list(self: Arc<Self>) {
+        let mut backoff = RetryBackoff::default();
         loop {
             self.expire_targets();
             let rank = self.reader_rank();
@@ -51,14 +51,14 @@
                 (targets.due_in(rank, self.now()), targets.is_known())
             };
             if due_in > Microseconds::ZERO {
-                sleep_ms((due_in.count() / 1_000).clamp(LIST_PAUSE_MS.0, LIST_PAUSE_MS.1)).await;
+                sleep_ms((due_in.count() / 1_000).clamp(LIST_POLL_MS.0, LIST_POLL_MS.1)).await;
             } else if !is_known && !self.speaks_with_store(false) {
-                sleep_ms(LIST_PAUSE_MS.0).await;
+                sleep_ms(LIST_POLL_MS.0).await;
             } else if self.read_targets().await {
-                pause = RetryBackoff::default();
+                backoff = RetryBackoff::default();
             } else {
-                let place = self.members.lock().rank_among_all(self.now());
-                pause_before_retry(&mut pause, place as u32).await;
+                let member_rank = self.members.lock().rank_among_all(self.now());
+                pause_before_retry(&mut backoff, member_rank as u32).await;
             }
         }
     }
@@ -118,12 +118,12 @@
             after.targets.len(), after.revision
         );
         self.take_changed_targets();
-        self.restarts.announce();
+        self.restarts.notify_all();
         self.news.notify(usize::MAX);
     }
 
     /// Takes in which run of a target has answered.
-    pub(crate) fn hear_run(&self, target: &TargetState, answering: TargetIncarnation) {
+    pub(crate) fn learn_run(&self, target: &TargetState, answering: TargetIncarnation) {
         let Some(id) = target.id() else {
             return;
         };
@@ -136,7 +136,7 @@
     }
 
     /// Takes in which list a peer has, and fetches it if it is newer.
-    pub(crate) fn hear_list(
+    pub(crate) fn learn_list(
         self: &Arc<Self>,
         peer: SocketAddr,
         revision: u64,
@@ -144,11 +144,11 @@
         age: Option<Microseconds>,
     ) {
         let confirmed_at = age.map_or(Microseconds::ZERO, |age| self.now().saturating_sub(age));
-        let heard = self
+        let action = self
             .targets
             .lock()
             .record_peer_revision(revision, digest, confirmed_at);
-        if heard != PeerList::Fetch || self.is_fetching_list.swap(true, Ordering::Acquire) {
+        if action != PeerList::Fetch || self.is_fetching_list.swap(true, Ordering::Acquire) {
             return;
         }
         let entry = Arc::clone(self);
@@ -174,8 +174,8 @@
         if has_steps {
             return;
         }
-        match ask_for_list::<TargetList>(peer, TARGETS_PATH.to_owned()).await {
-            Ok(list) => self.take_peer_list(list, confirmed_at),
+        match request_list::<TargetList>(peer, TARGETS_PATH.to_owned()).await {
+            Ok(list) => self.accept_peer_list(list, confirmed_at),
             Err(error) => log::warn!(target: "targets", "{error}."),
         }
     }
@@ -189,7 +189,7 @@
         confirmed_at: Microseconds,
     ) -> bool {
         let path = format!("{TARGET_STEPS_PATH}?{digest}");
-        let steps = match ask_for_list::<Option<ListSteps>>(peer, path).await {
+        let steps = match request_list::<Option<ListSteps>>(peer, path).await {
             Ok(Some(steps)) => steps,
             Ok(None) => return false,
             Err(error) => {
@@ -199,7 +199,7 @@
             }
         };
         match steps.apply(held, digest) {
-            Ok(list) => self.take_peer_list(list, confirmed_at),
+            Ok(list) => self.accept_peer_list(list, confirmed_at),
             Err(error) => {
                 log::warn!(target: "targets", "Steps of {peer} can't be used: {error}.");
                 return false;
@@ -208,14 +208,14 @@
         true
     }
 
-    fn take_peer_list(&self, list: TargetList, confirmed_at: Microseconds) {
+    fn accept_peer_list(&self, list: TargetList, confirmed_at: Microseconds) {
         let now = self.now();
         self.change_targets(|known| known.record_peer_list(list, confirmed_at, now));
     }
 }
 
 /// Asks a peer for a list or for steps to it.
-async fn ask_for_list<T: DeserializeOwned>(peer: SocketAddr, path: String) -> Result<T, String> {
+async fn request_list<T: DeserializeOwned>(peer: SocketAddr, path: String) -> Result<T, String> {
     let client =
         HttpClient::new(peer, PEER_TIMEOUT_MS).with_large_answers(PEER_TIMEOUT_MS, LIST_TIMEOUT_MS);
     let request = Request::get(path).body(bytes::Bytes::new());
--- a/crates/pinhaven-entry/src/targets/orders.rs
+++ b/crates/pinhaven-entry/src/targets/orders.rs
@@ -36,30 +36,30 @@
 
 impl Entry {
     /// Takes in what a target asks for with an answer.
-    pub(crate) fn hear_orders(
+    pub(crate) fn apply_orders(
         &self,
         service: &ServiceEntry,
         target: &TargetState,
-        heard: &HeardOrders,
+        received: &HeardOrders,
         source: OrderSource,
     ) {
-        let orders = self.bounded(heard, target);
+        let orders = self.bound_orders(received, target);
         if orders.is_empty() {
             return;
         }
         let now = self.now();
-        let news = target.record_orders(&orders, now);
-        if news.leaves {
+        let changes = target.record_orders(&orders, now);
+        if changes.leaves {
             self.record_leave(service, target, source);
-            self.tell_leave(target);
+            self.advertise_leave(target);
         }
-        if let Some(until) = news.rests_until {
+        if let Some(until) = changes.rests_until {
             self.record_rest(service, target, until.saturating_sub(now), source);
         }
     }
 
     /// Takes in which runs of targets told another entry that they leave.
-    pub(crate) fn hear_leaves(&self, keys: &[u32]) {
+    pub(crate) fn apply_reported_leaves(&self, keys: &[u32]) {
         let leaves = AnswerOrders {
             leaves: true,
             rest: None,
@@ -76,31 +76,31 @@
     }
 
     /// Runs of targets that told this entry that they leave, for the others.
-    pub(crate) fn leaves_to_tell(&self) -> Vec<u32> {
-        let mut heard = self.heard_leaves.lock();
-        heard.forget(self.now());
-        heard.keys()
+    pub(crate) fn leaves_to_advertise(&self) -> Vec<u32> {
+        let mut leaves = self.heard_leaves.lock();
+        leaves.expire(self.now());
+        leaves.keys()
     }
 
     /// Lets the others hear at once that a target leaves. One without an id is told by its address.
-    fn tell_leave(&self, target: &TargetState) {
+    fn advertise_leave(&self, target: &TargetState) {
         if let Some(key) = target.key() {
-            self.heard_leaves.lock().hear(key, self.now());
+            self.heard_leaves.lock().record(key, self.now());
         }
         self.news.notify(usize::MAX);
     }
 
     /// The orders that can be read, with no rest longer than a target may ask for.
-    fn bounded(&self, heard: &HeardOrders, target: &TargetState) -> AnswerOrders {
-        let most = Microseconds::from_ms(self.settings.target_rest_most_ms);
-        let is_too_long = heard.orders.rest > Some(most);
-        if heard.has_bad_rest || is_too_long {
+    fn bound_orders(&self, received: &HeardOrders, target: &TargetState) -> AnswerOrders {
+        let rest_max = Microseconds::from_ms(self.settings.target_rest_most_ms);
+        let is_too_long = received.orders.rest > Some(rest_max);
+        if received.has_bad_rest || is_too_long {
             self.counters.add(Count::TargetRestBad);
             log::debug!(target: "orders", "Target {} asks for a rest that is none.", target.name());
         }
         AnswerOrders {
-            rest: heard.orders.rest.map(|rest| rest.min(most)),
-            ..heard.orders
+            rest: received.orders.rest.map(|rest| rest.min(rest_max)),
+            ..received.orders
         }
     }
 
--- a/crates/pinhaven-entry/src/targets/owned_targets.rs
+++ b/crates/pinhaven-entry/src/targets/owned_targets.rs
@@ -13,7 +13,7 @@
 
 /// Entries that carry less than this part of what the largest does own none: asking targets would
 /// take the greater part of their processor.
-const OWNER_CAPACITY_PART: u32 = 2;
+const OWNER_CAPACITY_DIVISOR: u32 = 2;
 
 /// An entry that may own targets.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -65,10 +65,10 @@
     let members = entry.members.lock();
     let serving = members.serving(entry.now());
     let largest = serving.iter().map(|row| row.capacity).max();
-    let least = largest.unwrap_or_default().per_second() / OWNER_CAPACITY_PART;
+    let capacity_min = largest.unwrap_or_default().per_second() / OWNER_CAPACITY_DIVISOR;
     serving
         .into_iter()
-        .filter(|row| row.capacity.per_second() >= least)
+        .filter(|row| row.capacity.per_second() >= capacity_min)
         .map(|row| Candidate {
             incarnation: row.incarnation,
             failure_domain: row.failure_domain.clone(),
@@ -84,6 +84,6 @@
         let digest = Digest::of_parts(&[&key.to_le_bytes(), &incarnation]);
         (candidate.failure_domain != *domain, digest.short())
     };
-    let first = candidates.iter().min_by_key(rank);
-    first.map(|candidate| candidate.incarnation)
+    let owner = candidates.iter().min_by_key(rank);
+    owner.map(|candidate| candidate.incarnation)
 }
--- a/crates/pinhaven-entry/src/targets/pool.rs
+++ b/crates/pinhaven-entry/src/targets/pool.rs
@@ -28,14 +28,14 @@
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// Times that it is looked, and how long a connection must stay up to show that the target still runs, in milliseconds.
-const REFUSAL_TRIES: u32 = 2;
-const REFUSAL_LINGER_MS: u64 = 2;
+const REFUSAL_CHECKS: u32 = 2;
+const STAY_UP_MS: u64 = 2;
 
 /// How long a connection may have been idle to be used again. Targets close them after some time,
 /// often 10 s, and a request that crosses the close is lost.
-pub(crate) const IDLE_MOST: Duration = Duration::from_secs(8);
+pub(crate) const IDLE_MAX: Duration = Duration::from_secs(8);
 /// The same for a request that may not be repeated, as nothing can mend its loss.
-pub(crate) const IDLE_MOST_ONCE: Duration = Duration::from_secs(2);
+pub(crate) const IDLE_MAX_ONCE: Duration = Duration::from_secs(2);
 
 /// Idle connections to one target, and since when, the last used last.
 #[derive(Default)]
@@ -50,13 +50,13 @@
 }
 
 impl TargetPool {
-    /// A connection that takes a request now, a kept one only if it was used less than `idle_most` ago.
+    /// A connection that takes a request now, a kept one only if it was used less than `idle_max` ago.
     pub(crate) async fn connect(
         &self,
         target: TargetAddress,
-        idle_most: Duration,
+        idle_max: Duration,
     ) -> Result<Connected, BoxError> {
-        while let Some(mut sender) = self.take(idle_most) {
+        while let Some(mut sender) = self.take_idle(idle_max) {
             if sender.ready().await.is_ok() {
                 return Ok(Connected {
                     sender,
@@ -77,8 +77,8 @@
     }
 
     /// Whether nobody listens at a target's address any more. A connection that stays up is kept.
-    pub(crate) async fn is_refused(&self, target: TargetAddress) -> bool {
-        for _ in 0..REFUSAL_TRIES {
+    pub(crate) async fn is_connection_refused(&self, target: TargetAddress) -> bool {
+        for _ in 0..REFUSAL_CHECKS {
             let connecting = http1_sender(target.socket_address());
             let sender = match within(REFUSAL_TIMEOUT, connecting).await {
                 Some(Ok(sender)) => sender,
@@ -86,9 +86,9 @@
                 None => return false,
             };
             // A process that ends closes its connections a moment before its listener, or after.
-            sleep_ms(REFUSAL_LINGER_MS).await;
+            sleep_ms(STAY_UP_MS).await;
             if !sender.is_closed() {
-                self.keep(sender);
+                self.put(sender);
                 return false;
             }
         }
@@ -96,23 +96,23 @@
     }
 
     /// Keeps a connection whose answer has been read to its end.
-    pub(crate) fn keep(&self, sender: Sender) {
+    pub(crate) fn put(&self, sender: Sender) {
         if !sender.is_closed() {
             self.idle.lock().push((Instant::now(), sender));
         }
     }
 
     /// The connection used last. If that is too long ago, all others are older and are closed.
-    fn take(&self, idle_most: Duration) -> Option<Sender> {
+    fn take_idle(&self, idle_max: Duration) -> Option<Sender> {
         let mut idle = self.idle.lock();
-        let (since, sender) = idle.pop()?;
-        if since.elapsed() < idle_most {
+        let (idle_since, sender) = idle.pop()?;
+        if idle_since.elapsed() < idle_max {
             return Some(sender);
         }
-        if since.elapsed() >= IDLE_MOST {
+        if idle_since.elapsed() >= IDLE_MAX {
             idle.clear();
         } else {
-            idle.push((since, sender));
+            idle.push((idle_since, sender));
         }
         None
     }
@@ -124,7 +124,7 @@
 }
 
 /// What became of a request that was handed to a connection.
-pub(crate) enum Sent {
+pub(crate) enum SendResult {
     Answer(http::Response<hyper::body::Incoming>, Sender),
     /// The connection had closed before anything was written; the request is back.
     Unsent(Box<Request<AnyBody>>),
@@ -137,23 +137,23 @@
     _permit: SendPermit,
     mut sender: Sender,
     request: Request<AnyBody>,
-) -> Sent {
+) -> SendResult {
     match sender.try_send_request(request).await {
-        Ok(response) => Sent::Answer(response, sender),
+        Ok(response) => SendResult::Answer(response, sender),
         Err(mut error) => match error.take_message() {
-            Some(request) => Sent::Unsent(Box::new(request)),
-            None => Sent::Broken(error.into_error()),
+            Some(request) => SendResult::Unsent(Box::new(request)),
+            None => SendResult::Broken(error.into_error()),
         },
     }
 }
 
 /// Gives a connection back to its pool once the answer has been read to its end.
-pub(crate) struct ReturnSender {
+pub(crate) struct PooledSender {
     pool: Arc<TargetPool>,
     sender: Option<Sender>,
 }
 
-impl ReturnSender {
+impl PooledSender {
     pub(crate) fn new(pool: Arc<TargetPool>, sender: Sender) -> Self {
         Self {
             pool,
@@ -162,9 +162,9 @@
     }
 
     /// The answer has been read to its end.
-    pub(crate) fn finished(&mut self) {
+    pub(crate) fn release(&mut self) {
         if let Some(sender) = self.sender.take() {
-            self.pool.keep(sender);
+            self.pool.put(sender);
         }
     }
 }
--- a/crates/pinhaven-entry/src/targets/probes.rs
+++ b/crates/pinhaven-entry/src/targets/probes.rs
@@ -21,13 +21,13 @@
 use std::sync::Arc;
 
 /// How often an entry without a seat looks whether it has one, in milliseconds.
-const SEAT_LOOK_MS: u64 = 500;
+const SEAT_POLL_MS: u64 = 500;
 /// The shortest and the longest pause between two looks for due probes, in milliseconds.
 const PAUSE_MS: std::ops::RangeInclusive<u64> = 5..=500;
 /// How long a target may take to answer a probe, in milliseconds.
 const PROBE_TIMEOUT_MS: u64 = 1_000;
 
-type Probed = BTreeMap<(ServiceName, TargetAddress), ProbedTarget>;
+type ProbedTargets = BTreeMap<(ServiceName, TargetAddress), ProbedTarget>;
 
 /// A target of the seat, with its budget and the connection that its probes use.
 struct ProbedTarget {
@@ -36,13 +36,13 @@
 }
 
 /// The budgets of the targets of one seat in one version.
-struct Round {
+struct ProbeRound {
     version: BundleVersion,
     seat: u32,
-    targets: Probed,
+    targets: ProbedTargets,
 }
 
-impl Round {
+impl ProbeRound {
     /// The time until the next probe is due, in milliseconds.
     fn pause_ms(&self, now: Microseconds) -> u64 {
         let dues = self.targets.values().filter_map(|t| t.budget.next_at());
@@ -57,12 +57,12 @@
 impl Entry {
     /// Sends probes for ever.
     pub(crate) async fn probe(self: Arc<Self>) {
-        let mut round: Option<Round> = None;
+        let mut round: Option<ProbeRound> = None;
         loop {
             let seat = self.seats.lock().seat(self.now());
             let Some(seat) = seat else {
                 round = None;
-                sleep_ms(SEAT_LOOK_MS).await;
+                sleep_ms(SEAT_POLL_MS).await;
                 continue;
             };
             let snapshot = self.snapshot.load_full();
@@ -70,8 +70,8 @@
                 .as_ref()
                 .is_some_and(|round| round.version == snapshot.version && round.seat == seat);
             if !is_current {
-                let kept = round.take().filter(|round| round.seat == seat);
-                round = Some(self.begin_round(seat, kept));
+                let previous = round.take().filter(|round| round.seat == seat);
+                round = Some(self.begin_round(seat, previous));
             }
             let Some(round) = &mut round else {
                 continue;
@@ -85,14 +85,14 @@
         }
     }
 
-    /// The budgets for a new version or seat. What a target's budget has spent is kept, unless the
+    /// The budgets for a new version or seat. What a target's budget has spent is retained, unless the
     /// service changed: then it begins anew with a pause, as after a change of holders.
-    fn begin_round(&self, seat: u32, kept: Option<Round>) -> Round {
+    fn begin_round(&self, seat: u32, previous: Option<ProbeRound>) -> ProbeRound {
         let snapshot = self.snapshot.load();
         let measuring = &snapshot.bundle().measuring;
         let now = self.now();
-        let mut kept = kept.map(|round| round.targets).unwrap_or_default();
-        let mut targets = Probed::new();
+        let mut previous = previous.map(|round| round.targets).unwrap_or_default();
+        let mut targets = ProbedTargets::new();
         for (name, service) in &snapshot.services {
             if service.config.probe_path.is_none() {
                 continue;
@@ -103,8 +103,8 @@
                 }
                 let key = (name.clone(), target.address);
                 let budget = ProbeBudget::new(measuring, &service.config, now);
-                let probed = match kept.remove(&key) {
-                    Some(kept) if kept.budget.is_same_plan(&budget) => kept,
+                let probed = match previous.remove(&key) {
+                    Some(previous) if previous.budget.is_same_plan(&budget) => previous,
                     _ => ProbedTarget {
                         budget,
                         client: HttpClient::new(target.address.socket_address(), PROBE_TIMEOUT_MS),
@@ -113,7 +113,7 @@
                 targets.insert(key, probed);
             }
         }
-        Round {
+        ProbeRound {
             version: snapshot.version,
             seat,
             targets,
@@ -158,7 +158,7 @@
         };
         // What a target asks for holds whichever way it is asked.
         let orders = self.dialect.read_orders(answer.status(), answer.headers());
-        self.hear_orders(service, state, &orders, OrderSource::Probe);
+        self.apply_orders(service, state, &orders, OrderSource::Probe);
         match load_report::from_json(answer.body()) {
             Some(report) => service.state.record_report(state, answered_at, &report),
             None => self.counters.add(Count::ProbeFailed),
--- a/crates/pinhaven-entry/src/targets/reported_leaves.rs
+++ b/crates/pinhaven-entry/src/targets/reported_leaves.rs
@@ -3,29 +3,29 @@
 use pinhaven_types::Microseconds;
 
 /// How long the others are told. Datagrams get lost; twenty whole ones in a row do not.
-const TELL_FOR: Microseconds = Microseconds::from_ms(10_000);
+const ADVERTISE_FOR: Microseconds = Microseconds::from_ms(10_000);
 /// Runs told of in one datagram, the last heard first, so that it fits into one packet beside all else.
-const TOLD_MOST: usize = 64;
+const ADVERTISED_MAX: usize = 64;
 
 /// Short hashes of runs of targets, and when each was heard, the last at the end.
 #[derive(Debug, Default)]
-pub(crate) struct HeardLeaves(Vec<(u32, Microseconds)>);
+pub(crate) struct ReportedLeaves(Vec<(u32, Microseconds)>);
 
-impl HeardLeaves {
+impl ReportedLeaves {
     /// Takes in that a run said so at `now`.
-    pub(crate) fn hear(&mut self, key: u32, now: Microseconds) {
+    pub(crate) fn record(&mut self, key: u32, now: Microseconds) {
         self.0.push((key, now));
     }
 
     /// Forgets those that the others had time to hear of.
-    pub(crate) fn forget(&mut self, now: Microseconds) {
+    pub(crate) fn expire(&mut self, now: Microseconds) {
         self.0
-            .retain(|(_, heard_at)| now.saturating_sub(*heard_at) < TELL_FOR);
+            .retain(|(_, reported_at)| now.saturating_sub(*reported_at) < ADVERTISE_FOR);
     }
 
     /// The runs to tell of.
     pub(crate) fn keys(&self) -> Vec<u32> {
-        let last = self.0.iter().rev().take(TOLD_MOST);
-        last.map(|(key, _)| *key).collect()
+        let latest = self.0.iter().rev().take(ADVERTISED_MAX);
+        latest.map(|(key, _)| *key).collect()
     }
 }
--- a/crates/pinhaven-entry/src/targets/restarts.rs
+++ b/crates/pinhaven-entry/src/targets/restarts.rs
@@ -14,7 +14,7 @@
 
 impl Restarts {
     /// Lets all attempts look whether it is their target.
-    pub(crate) fn announce(&self) {
+    pub(crate) fn notify_all(&self) {
         self.0.notify(usize::MAX);
     }
 }
@@ -48,11 +48,11 @@
     pub(crate) async fn wait_for_restart(&self, target: &TargetState) {
         loop {
             // Listening begins before the look, so that no word is missed.
-            let word = self.restarts.0.listen();
+            let listener = self.restarts.0.listen();
             if self.has_restarted(target) {
                 return;
             }
-            word.await;
+            listener.await;
         }
     }
 
--- a/crates/pinhaven-entry/src/targets/seats.rs
+++ b/crates/pinhaven-entry/src/targets/seats.rs
@@ -18,10 +18,10 @@
 
 impl Entry {
     /// Renews this entry's seat, or tries to get one, for ever.
-    pub(crate) async fn keep_seat(self: Arc<Self>) {
+    pub(crate) async fn maintain_seat(self: Arc<Self>) {
         loop {
             sleep_ms(TICK_MS).await;
-            if !self.measures_anything() {
+            if !self.has_probed_service() {
                 continue;
             }
             let now = self.now();
@@ -33,7 +33,7 @@
     }
 
     /// Whether any service wants probes.
-    fn measures_anything(&self) -> bool {
+    fn has_probed_service(&self) -> bool {
         let snapshot = self.snapshot.load();
         snapshot.bundle().services.iter().any(|service| {
             service.probe_path.is_some() && service.measuring_budget_percent.fraction() > 0.0
--- a/crates/pinhaven-entry/src/targets/speed_probes.rs
+++ b/crates/pinhaven-entry/src/targets/speed_probes.rs
@@ -27,7 +27,7 @@
 const TIMEOUT_MS: u64 = 400;
 
 /// A target that this entry asks.
-struct Probed {
+struct ProbedTarget {
     pace: ProbePace,
     client: Arc<HttpClient>,
     is_under_way: Arc<AtomicBool>,
@@ -37,7 +37,7 @@
     /// Sends probes, for ever.
     pub(crate) async fn probe_speeds(self: Arc<Self>) {
         let mut owned = OwnedTargets::default();
-        let mut probed: HashMap<u32, Probed> = HashMap::new();
+        let mut probed: HashMap<u32, ProbedTarget> = HashMap::new();
         loop {
             let snapshot = self.snapshot.load_full();
             owned.refresh(&self, &snapshot);
@@ -60,7 +60,7 @@
         self: &Arc<Self>,
         key: u32,
         keyed: &KeyedTarget,
-        probed: &mut HashMap<u32, Probed>,
+        probed: &mut HashMap<u32, ProbedTarget>,
     ) {
         let now = self.now();
         let target = &keyed.target;
@@ -70,17 +70,17 @@
         let age = target
             .reported_speed()
             .map(|(_, at)| now.saturating_sub(at));
-        let wanted = keyed.service.state.desired_report_age();
+        let desired_age = keyed.service.state.desired_report_age();
         let Ok(permit) = target.send_permit(now) else {
             return;
         };
-        if age.is_some_and(|age| age < wanted) {
+        if age.is_some_and(|age| age < desired_age) {
             return;
         }
-        let most = self.settings.discovery.as_ref();
-        let most = most.map_or(0, |discovery| discovery.probes_per_second_most);
-        let probed = probed.entry(key).or_insert_with(|| Probed {
-            pace: ProbePace::new(most),
+        let per_second_max = self.settings.discovery.as_ref();
+        let per_second_max = per_second_max.map_or(0, |discovery| discovery.probes_per_second_most);
+        let probed = probed.entry(key).or_insert_with(|| ProbedTarget {
+            pace: ProbePace::new(per_second_max),
             client: Arc::new(
                 HttpClient::new(target.address().socket_address(), TIMEOUT_MS)
                     .with_idle_connections(1),
@@ -132,11 +132,11 @@
             && answering != known
         {
             // The report is of another run; a later one is asked again.
-            self.hear_run(target, answering);
+            self.learn_run(target, answering);
             return;
         }
         let orders = self.dialect.read_orders(answer.status(), answer.headers());
-        self.hear_orders(service, target, &orders, OrderSource::Probe);
+        self.apply_orders(service, target, &orders, OrderSource::Probe);
         match self.dialect.read_probe(answer.headers(), answer.body()) {
             Some(report) => service.state.record_report(target, self.now(), &report),
             None => self.counters.add(Count::ProbeFailed),
