--- a/crates/pinhaven-entry/src/callers/proxy.rs
+++ b/crates/pinhaven-entry/src/callers/proxy.rs
@@ -62,7 +62,7 @@
         Err(problem) => {
             record_problem(&entry, id.as_deref(), &problem);
             match keyed_headers {
-                Some(headers) => execute::without_proof(&headers, problem).into_response(),
+                Some(headers) => execute::downgrade_unproven(&headers, problem).into_response(),
                 None => problem.into_response(),
             }
         }
@@ -212,7 +212,7 @@
     });
     BodyLimits {
         held_bytes: if keeps_key {
-            execute::body_bytes_most(config)
+            execute::body_bytes_max(config)
         } else {
             config.replay_bytes
         },
--- a/crates/pinhaven-entry/src/once_only/claim_rate.rs
+++ b/crates/pinhaven-entry/src/once_only/claim_rate.rs
@@ -1,12 +1,15 @@
-//! How many claims may be written.
+//! Rate limit of the claims that an entry writes to the platform's table.
 
 use parking_lot::Mutex;
 use pinhaven_types::Microseconds;
 
-/// Limits how many claims are written a second.
+/// Rate limiter for claim writes. Unused writes accumulate over at most one second.
 pub(crate) struct ClaimRate {
+    /// Time between two writes at the full rate.
     spacing: Microseconds,
+    /// Time from which the next write is allowed.
     next_at: Mutex<Microseconds>,
+    /// Time over which unused writes accumulate.
     burst: Microseconds,
 }
 
@@ -20,14 +23,14 @@
         }
     }
 
-    /// Takes the right to one write; `false` when there is none now.
+    /// Consumes one write from the limit. Returns `false` if no write is allowed at `now`.
     pub(crate) fn take(&self, now: Microseconds) -> bool {
         let mut next_at = self.next_at.lock();
-        let from = (*next_at).max(now.saturating_sub(self.burst));
-        if from > now {
+        let allowed_at = (*next_at).max(now.saturating_sub(self.burst));
+        if allowed_at > now {
             return false;
         }
-        *next_at = from.plus(self.spacing);
+        *next_at = allowed_at.plus(self.spacing);
         true
     }
 }
--- a/crates/pinhaven-entry/src/once_only/claims.rs
+++ b/crates/pinhaven-entry/src/once_only/claims.rs
@@ -1,8 +1,9 @@
-//! Claims: homes of once-only requests whose callers name none.
+//! Claims: homes of once-only requests whose callers name no home.
 //!
-//! The first entry to insert the key's row becomes its home; the row says so for good. A write whose
-//! answer is lost is settled by reading back. Claims cost a write each, so they are limited in rate
-//! and refused as "not run" past that.
+//! The first entry that inserts the row of a key becomes the key's home, and the row is never changed
+//! afterwards. If the response to the write is lost, the entry reads the row to learn which home it names.
+//! Each claim costs a write to the table, so the rate of claims is limited, and requests above the limit
+//! are refused as "not run".
 
 use crate::entry::Entry;
 use crate::watch::counters::Count;
@@ -18,14 +19,18 @@
 use pinhaven_types::Digest;
 use pinhaven_types::ServiceName;
 
-/// When a caller may come back after its claim failed, in milliseconds.
+/// Retry delay sent to callers whose claim was refused or failed, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
 
 /// a claim failed: {0}
 #[derive(Debug, DisplayDoc)]
 struct ClaimFailed(String);
 
-/// Finds the home of a key, making this entry its home if it has none.
+/// Returns the home of a key; this entry becomes the home if the key has none.
+///
+/// # Errors
+///
+/// Returns a "not run" problem if the rate of claims is exceeded or the claim can't be written or read.
 pub(crate) async fn home_of(
     entry: &Entry,
     service: &ServiceName,
@@ -44,7 +49,7 @@
         Ok(home) => Ok(home),
         Err(ClaimFailed(message)) => {
             entry.counters.add(Count::ClaimFailed);
-            // This attempt will never be dispatched, whatever became of the write.
+            // This request is never dispatched, whether or not the write took effect.
             Err(
                 Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "claim_failed", message)
                     .with_retry_after_ms(RETRY_AFTER_MS),
@@ -66,7 +71,7 @@
             Ok(own)
         }
         Err(PlatformError::NoEffect { message, .. }) => Err(ClaimFailed(message)),
-        // Another claim may be there, or this one whose answer was lost: the row tells.
+        // The row may hold another entry's claim, or this one if only the response to its write was lost.
         Err(PlatformError::Conflict { .. } | PlatformError::Unknown { .. }) => {
             read_home(entry, &row_key).await
         }
--- a/crates/pinhaven-entry/src/once_only/execute.rs
+++ b/crates/pinhaven-entry/src/once_only/execute.rs
@@ -1,7 +1,9 @@
-//! Once-only requests: those that may not be repeated and carry an `Idempotency-Key`.
+//! Execution of once-only requests: requests that may not be repeated and carry an `Idempotency-Key`.
 //!
-//! The request's home dispatches it, whichever entry the caller sent it to. The work goes on when the
-//! caller leaves, so that a repeated key finds the answer.
+//! Only the home of the key dispatches the request, whichever entry the caller sent it to. The home's
+//! ledger records each key and the answer, so that a request with a known key is answered without a
+//! second dispatch. The dispatch continues after the caller disconnects, so that a later request with the
+//! same key finds the answer.
 
 use crate::callers::body::RequestBody;
 use crate::callers::body::too_large;
@@ -37,22 +39,22 @@
 use pinhaven_types::Promise;
 use pinhaven_types::require_promise;
 
-/// The largest body of a once-only request, in bytes; it is held whole.
+/// Maximum body size of a once-only request, in bytes. The body is buffered completely.
 const BODY_BYTES_MAX: u64 = 1024 * 1024;
-/// The largest answer to a once-only request, in bytes.
+/// Maximum size of the answer to a once-only request, in bytes. The answer is buffered completely.
 const ANSWER_BYTES_MAX: usize = 4 * 1024 * 1024;
-/// When a caller may ask again for a request in flight, in milliseconds.
+/// Retry delay sent to callers whose request is in flight, in milliseconds.
 const IN_FLIGHT_RETRY_MS: u64 = 200;
 
-/// The largest body that a once-only request of a service may have, in bytes.
-pub(crate) fn body_bytes_most(service: &Service) -> u64 {
+/// Maximum body size of a once-only request to `service`, in bytes.
+pub(crate) fn body_bytes_max(service: &Service) -> u64 {
     service.body_bytes.min(BODY_BYTES_MAX)
 }
 
-/// Answers a once-only request, here or at its home.
+/// Answers a once-only request: dispatches it if this entry is its home, otherwise relays it to the home.
 pub(crate) async fn answer(job: Job, hold: CallerHold) -> Response<AnyBody> {
     match find_home(&job).await {
-        Err(problem) => without_proof(&job.headers, problem).into_response(),
+        Err(problem) => downgrade_unproven(&job.headers, problem).into_response(),
         Ok((home, key, bytes)) => {
             if home.incarnation == job.entry.incarnation {
                 run_at_home(job, hold, home.epoch, key, bytes).await
@@ -65,7 +67,7 @@
 
 async fn find_home(job: &Job) -> Result<(Home, Digest, Bytes), Problem> {
     let RequestBody::Whole(bytes) = &job.body else {
-        return Err(too_large(&job.entry, body_bytes_most(&job.service.config)));
+        return Err(too_large(&job.entry, body_bytes_max(&job.service.config)));
     };
     let key = key_digest(job)?;
     let home = match job.headers.get(header::HOME) {
@@ -98,9 +100,10 @@
     })
 }
 
-/// What may be said of a once-only request that was refused without its home's ledger. An earlier
-/// sending of it may still arrive somewhere, so "not run" is proved only for a first sending.
-pub(crate) fn without_proof(headers: &HeaderMap, problem: Problem) -> Problem {
+/// Changes the run state of a refusal to "unknown" if the refused request is not known to be the first
+/// sending. Used for refusals that no ledger record of the key supports: an earlier sending may still reach
+/// the home and run, so "not run" is certain only for a first sending.
+pub(crate) fn downgrade_unproven(headers: &HeaderMap, problem: Problem) -> Problem {
     let is_first = sending_of(headers) == Some(Sending::FIRST);
     if problem.run_state == RunState::NotRun && !is_first {
         problem.with_run_state(RunState::Unknown)
@@ -109,13 +112,13 @@
     }
 }
 
-/// The number of this sending; `None` when the caller gives none.
+/// Sending number from the request's headers; `None` if it is missing or invalid.
 fn sending_of(headers: &HeaderMap) -> Option<Sending> {
     let number = header::number(headers, &header::SENDING).ok()??;
     u32::try_from(number).ok().map(Sending)
 }
 
-/// Runs a request whose home is this entry. The work does not stop when the caller leaves.
+/// Runs a request whose home is this entry. The dispatch continues after the caller disconnects.
 pub(crate) async fn run_at_home(
     job: Job,
     hold: CallerHold,
@@ -142,7 +145,7 @@
     let (sender, receiver) = async_channel::bounded(1);
     spawn(async move {
         let response = dispatch_once(job, hold, claim).await;
-        // The caller may have left; the ledger has the answer.
+        // Sending fails if the caller has disconnected; the ledger then holds the answer.
         let _ = sender.send(response).await;
     })
     .detach();
@@ -169,8 +172,8 @@
         )
         .into_response();
     };
-    let is = |state: RunState| run_state.as_ref().is_some_and(|run| run == state.name());
-    if is(RunState::Run) {
+    let has_run_state = |state: RunState| run_state.as_ref().is_some_and(|run| run == state.name());
+    if has_run_state(RunState::Run) {
         let headers = head.headers.iter();
         ledger.settle_answered(
             claim,
@@ -182,7 +185,7 @@
                 body: body.to_vec(),
             },
         );
-    } else if is(RunState::NotRun) {
+    } else if has_run_state(RunState::NotRun) {
         ledger.settle_not_run(claim);
     } else {
         ledger.settle_unknown(claim);
@@ -242,7 +245,7 @@
                 "ledger_full",
                 "this entry can't remember more keys now",
             );
-            without_proof(&job.headers, problem).into_response()
+            downgrade_unproven(&job.headers, problem).into_response()
         }
         BeginOutcome::NeverIssued => {
             counters.add(Count::BadRequest);
@@ -251,7 +254,7 @@
                 "bad_home",
                 "this home was never given out",
             );
-            without_proof(&job.headers, problem).into_response()
+            downgrade_unproven(&job.headers, problem).into_response()
         }
         BeginOutcome::Unknown | BeginOutcome::Forgotten => {
             counters.add(Count::OnceUnknown);
@@ -264,7 +267,7 @@
         }
         BeginOutcome::Dispatch(_) => {
             require_promise(Promise::AtMostOnce, false, || {
-                "a dispatch was taken for an answer".to_owned()
+                "a request that the ledger let through was answered without a dispatch".to_owned()
             });
             Problem::unknown(StatusCode::BAD_GATEWAY, "broken", "").into_response()
         }
@@ -284,8 +287,8 @@
     response
 }
 
-/// Digest of what makes the request what it is. The caller's credentials belong to it, so that one
-/// caller's key never gets another caller's answer.
+/// Fingerprint of a request: method, path, credentials and body. The credentials are included so that a
+/// caller that reuses another caller's key never receives the other caller's answer.
 fn fingerprint(job: &Job, body: &Bytes) -> OnceFingerprint {
     let path = job.uri.path_and_query().map_or("/", |path| path.as_str());
     let credentials = job.headers.get(http::header::AUTHORIZATION);
--- a/crates/pinhaven-entry/src/once_only/mod.rs
+++ b/crates/pinhaven-entry/src/once_only/mod.rs
@@ -1,7 +1,8 @@
 //! Requests that may run at most once and carry a key.
 //!
-//! A [`Job`](crate::callers::job::Job) comes in; it is dispatched here if this entry is its home, and else handed to the
-//! entry that is. Called by `callers`, and by `peers` for what other entries relay.
+//! Input is a [`Job`](crate::callers::job::Job). This entry dispatches the job if it is the home of the
+//! job's key, and otherwise relays it to the home. Called by `callers` for callers' requests and by `peers`
+//! for requests that other entries relay.
 
 pub(crate) mod claim_rate;
 pub(crate) mod claims;
--- a/crates/pinhaven-entry/src/once_only/relay_client.rs
+++ b/crates/pinhaven-entry/src/once_only/relay_client.rs
@@ -1,4 +1,7 @@
-//! Handing a once-only request to its home, on this entry's side.
+//! Client side of relaying: sends a once-only request to its home and returns the home's answer.
+//!
+//! If the home is unknown or does not answer, the outcome is reported as unknown: the home may have
+//! dispatched the request, so no other entry may dispatch it again.
 
 use crate::callers::job::Job;
 use crate::entry::Entry;
@@ -23,13 +26,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Hands a request to its home and waits for the answer.
+/// Sends a request to its home and waits for the answer until the request's deadline.
 pub(crate) async fn to_home(job: &Job, home: Home, key: Digest, bytes: Bytes) -> Response<AnyBody> {
     job.entry.counters.add(Count::OnceRelayed);
     let Some(peer) = peer_of(&job.entry, home) else {
         return home_lost(&job.entry, "its home is gone or not known here").into_response();
     };
-    let left = job.deadline.saturating_sub(job.entry.now());
+    let remaining = job.deadline.saturating_sub(job.entry.now());
     let request = RelayOnceRequest {
         home: home.to_string(),
         service: job.service.config.name.to_string(),
@@ -42,13 +45,13 @@
             .to_owned(),
         headers: to_fields(&job.headers),
         body: bytes.to_vec(),
-        deadline_ms: left.as_ms() as u64,
+        deadline_ms: remaining.as_ms() as u64,
     };
-    let timeout = Duration::from_micros(left.count());
+    let timeout = Duration::from_micros(remaining.count());
     match job.entry.peers.relay_once(peer, timeout, request).await {
         Ok(answer) => from_answer(answer),
         Err(error) => {
-            log::warn!(target: "relay", "Relaying failed: {error}.");
+            log::warn!(target: "relay", "Relaying a once-only request to its home failed: {error}.");
             home_lost(&job.entry, "its home does not answer").into_response()
         }
     }
@@ -60,7 +63,8 @@
     (member.row.state != MemberState::Gone).then_some(member.row.peer_address)
 }
 
-/// The home may have dispatched the request before it was lost, so nobody may dispatch it again.
+/// Counts a request whose home is lost and returns the problem for it. The outcome is unknown: the home may
+/// have dispatched the request before it was lost, so no other entry may dispatch it again.
 pub(crate) fn home_lost(entry: &Entry, detail: &str) -> Problem {
     entry.counters.add(Count::OnceUnknown);
     Problem::unknown(StatusCode::BAD_GATEWAY, "outcome_unknown", detail)
--- a/crates/pinhaven-entry/src/once_only/relay_server.rs
+++ b/crates/pinhaven-entry/src/once_only/relay_server.rs
@@ -1,4 +1,4 @@
-//! Taking a once-only request that another entry relayed to its home, this entry.
+//! Server side of relaying: runs a once-only request that another entry relayed to this entry, its home.
 
 use crate::callers::body::RequestBody;
 use crate::callers::hold::CallerHold;
@@ -25,12 +25,12 @@
 use std::sync::Arc;
 use std::sync::OnceLock;
 
-/// Answers a request that another entry relayed.
+/// Runs a relayed request and returns the answer in the form of the relay call.
 pub(crate) async fn answer_relayed(
     entry: &Arc<Entry>,
     request: RelayOnceRequest,
 ) -> RelayOnceResponse {
-    let response = match take_relayed(entry, request) {
+    let response = match parse_relayed(entry, request) {
         Err(problem) => problem.into_response(),
         Ok(relayed) => {
             let hold = CallerHold {
@@ -49,6 +49,7 @@
     to_answer(response).await
 }
 
+/// A relayed request with the fields of its call parsed.
 struct Relayed {
     job: Job,
     home: Home,
@@ -56,28 +57,37 @@
     bytes: Bytes,
 }
 
-fn take_relayed(entry: &Arc<Entry>, request: RelayOnceRequest) -> Result<Relayed, Problem> {
-    let bad = |what: &str| {
+fn parse_relayed(entry: &Arc<Entry>, request: RelayOnceRequest) -> Result<Relayed, Problem> {
+    let bad_relay = |detail: &str| {
         entry.counters.add(Count::BadRequest);
-        Problem::not_run(StatusCode::BAD_REQUEST, "bad_relay", what)
+        Problem::not_run(StatusCode::BAD_REQUEST, "bad_relay", detail)
     };
-    let home: Home = request.home.parse().map_err(|_| bad("bad home"))?;
+    let home: Home = request.home.parse().map_err(|_| bad_relay("bad home"))?;
     if home.incarnation != entry.incarnation {
         return Err(home_lost(
             entry,
             "its home was replaced by another instance",
         ));
     }
-    let name: ServiceName = request.service.parse().map_err(|_| bad("bad service"))?;
-    let key: Digest = request.key_digest.parse().map_err(|_| bad("bad key"))?;
-    let method = request.method.parse().map_err(|_| bad("bad method"))?;
+    let name: ServiceName = request
+        .service
+        .parse()
+        .map_err(|_| bad_relay("bad service"))?;
+    let key: Digest = request
+        .key_digest
+        .parse()
+        .map_err(|_| bad_relay("bad key"))?;
+    let method = request
+        .method
+        .parse()
+        .map_err(|_| bad_relay("bad method"))?;
     let uri = request
         .path_and_query
         .parse()
-        .map_err(|_| bad("bad path"))?;
+        .map_err(|_| bad_relay("bad path"))?;
     let snapshot = entry.snapshot.load();
     let service = snapshot.services.get(&name).cloned();
-    let service = service.ok_or_else(|| bad("unknown service"))?;
+    let service = service.ok_or_else(|| bad_relay("unknown service"))?;
     let bytes = Bytes::from(request.body);
     let deadline = Microseconds::from_ms(request.deadline_ms);
     let job = Job {
@@ -105,7 +115,7 @@
 
 async fn to_answer(response: Response<AnyBody>) -> RelayOnceResponse {
     let (head, body) = response.into_parts();
-    // Answers of once-only requests are whole before they are relayed.
+    // The answer to a once-only request is already buffered completely, so reading it does not block.
     let body = body.collect().await.map(|body| body.to_bytes());
     RelayOnceResponse {
         status: u32::from(head.status.as_u16()),
