--- a/crates/pinhaven-entry/src/targets/added_attempts.rs
+++ b/crates/pinhaven-entry/src/targets/added_attempts.rs
@@ -1,17 +1,21 @@
-//! What this entry may add of attempts: its part of what all entries together may.
+//! This entry's share of the added attempts (hedges and retries) that all entries together may make.
+//!
+//! The settings limit the total. Each entry computes its own share from the members that it knows, without a
+//! message to the other entries.
 
 use crate::entry::Entry;
 use pinhaven_types::RequestRate;
 
-/// Share of the extra added attempts that goes to the entries that serve.
+/// Share of the extra added attempts that the serving entries divide among themselves.
 const SERVING_EXTRA_SHARE: f64 = 0.8;
-/// Share of an entry's extra added attempts that hedges may use at once.
+/// Share of an entry's extra added attempts that hedges may use in a burst.
 const HEDGE_BURST_SHARE: f64 = 0.45;
-/// The same for retries. What is left covers entries that have just begun and those that are gone.
+/// Share of an entry's extra added attempts that retries may use in a burst. The rest covers entries that have
+/// just started and entries that have left.
 const RETRY_BURST_SHARE: f64 = 0.35;
 
 impl Entry {
-    /// Sets how many added attempts this entry may make at once: its part of what all may together.
+    /// Sets how many hedges and retries of each service this entry may send in a burst.
     pub(crate) fn share_added_attempts(&self) {
         let Some(discovery) = &self.settings.discovery else {
             return;
@@ -25,7 +29,8 @@
         }
     }
 
-    /// Those that serve share most of it; the rest is for callers that still use others.
+    /// This entry's part of `extra`, the extra added attempts of all entries. The serving entries divide most
+    /// of it; the other entries divide the rest, for callers that still use them.
     fn own_added_attempts_extra(&self, extra: f64) -> f64 {
         let members = self.members.lock();
         let now = self.now();
@@ -33,7 +38,7 @@
         let serving = members.serving(now);
         let others = (members.live_peers(now).len() + 1).saturating_sub(serving.len());
         if serving.contains(&own) {
-            // Callers spread over them by what they can carry.
+            // Callers distribute their requests over the serving entries in proportion to capacity.
             let all: RequestRate = serving.iter().map(|row| row.capacity).sum();
             let share = f64::from(own.capacity.per_second()) / f64::from(all.per_second().max(1));
             extra * SERVING_EXTRA_SHARE * share
--- a/crates/pinhaven-entry/src/targets/leaving.rs
+++ b/crates/pinhaven-entry/src/targets/leaving.rs
@@ -1,8 +1,8 @@
-//! News of leaving targets, passed on to the other entries.
+//! Applies peers' updates on leaving targets.
 //!
-//! An entry that learns from a reply or a probe that a target drains tells every peer in its next
-//! exchanges. News only ever says "leaving"; nothing that comes late can bring a target back. It is of
-//! one run of a target, and says nothing of a later run at the same address.
+//! An entry that learns from an answer or a probe that a target drains sends this to every peer in its next
+//! exchanges. An update can only mark a target as leaving, so a delayed update never reinstates a target. An
+//! update applies to one run of a target and not to a later run at the same address.
 
 use crate::entry::Entry;
 use pinhaven_decide::TargetState;
@@ -10,8 +10,8 @@
 use pinhaven_types::ServiceName;
 
 impl Entry {
-    /// Takes news of leaving targets in. News from another version is left out: the target may have
-    /// been put back since.
+    /// Marks the targets in `updates` as leaving. Updates of another version are ignored, because the target
+    /// may have been reinstated since.
     pub(crate) fn apply_leaving(&self, updates: &[Leaving]) {
         let snapshot = self.snapshot.load();
         let mut has_changed = false;
@@ -40,8 +40,8 @@
     }
 }
 
-/// Whether news is of this run of a target. News without a key, as entries of older versions send it, may
-/// be of an earlier run.
+/// Whether an update is about the current run of `target`. Entries of older releases send updates without a key;
+/// such an update may be about an earlier run, so it is only applied to a target without an incarnation.
 fn is_same_run(leaving: &Leaving, target: &TargetState) -> bool {
     match leaving.key {
         Some(_) => leaving.key == target.key(),
--- a/crates/pinhaven-entry/src/targets/leaving_targets.rs
+++ b/crates/pinhaven-entry/src/targets/leaving_targets.rs
@@ -1,4 +1,4 @@
-//! Targets known to be leaving.
+//! Targets that are leaving in the version in force, to be sent to peers.
 
 use crate::versions::snapshot::Snapshot;
 use pinhaven_peer::Leaving;
@@ -8,7 +8,7 @@
 use pinhaven_types::TargetAddress;
 use std::collections::BTreeMap;
 
-/// How long news is passed on.
+/// How long a leaving run is sent to peers.
 const ADVERTISE_FOR: Microseconds = Microseconds::from_ms(10_000);
 
 /// A run of a target that is leaving.
@@ -16,14 +16,14 @@
 struct LeavingRun {
     service: ServiceName,
     address: TargetAddress,
-    /// Tells it from another target or a later run at the address.
+    /// Distinguishes the run from another target or a later run at the same address.
     key: Option<u32>,
 }
 
-/// Targets known to be leaving in one version, and since when.
+/// Leaving runs of targets in one version, with the time since which each is known to be leaving.
 ///
-/// News belongs to a version: a target that left in one may be put back by the next, and must not be
-/// taken out again by what was still gathered from the one before.
+/// The runs belong to one version: the next version may reinstate a target, and the reinstated target must not be
+/// marked as leaving again because of the previous version.
 #[derive(Default)]
 pub(crate) struct LeavingTargets {
     version: BundleVersion,
@@ -31,7 +31,7 @@
 }
 
 impl LeavingTargets {
-    /// Takes in all targets that are marked as leaving. Returns whether any was new.
+    /// Records all targets of `snapshot` that are marked as leaving. Returns whether any of them is new.
     pub(crate) fn collect(&mut self, snapshot: &Snapshot, now: Microseconds) -> bool {
         if snapshot.version < self.version {
             return false;
@@ -56,7 +56,7 @@
         self.since.len() > known
     }
 
-    /// News that is still worth passing on.
+    /// The leaving runs that are still to be sent to peers.
     pub(crate) fn recent(&self, now: Microseconds) -> Vec<Leaving> {
         self.since
             .iter()
--- a/crates/pinhaven-entry/src/targets/listed_targets.rs
+++ b/crates/pinhaven-entry/src/targets/listed_targets.rs
@@ -1,4 +1,8 @@
-//! The list of targets: read from the store by whoever's turn it is, else taken from a peer.
+//! The list of targets: read from the store by the first entries in rank, fetched from a peer by the others.
+//!
+//! Each entry reads the store only after the list has reached an age that grows with the entry's rank, so that
+//! usually a single entry reads it. The other entries learn the revision from peers' updates and fetch a newer list
+//! over HTTP: the steps from their own list to the newer one, or the whole list if the steps are not available.
 
 use crate::entry::Entry;
 use crate::versions::store_pace::pause_before_retry;
@@ -26,21 +30,21 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Where a peer asks for the list of targets.
+/// Path at which a peer requests the list of targets.
 pub(crate) const TARGETS_PATH: &str = "/targets";
-/// Where a peer asks for the steps to it from the list that it has.
+/// Path at which a peer requests the steps from its list to the current list.
 pub(crate) const TARGET_STEPS_PATH: &str = "/targets/steps";
-/// The shortest and the longest pause before it is asked again whether the list has to be read, in
-/// milliseconds. Ranks change when entries come and go.
+/// Minimum and maximum time between two checks whether the list is due to be read, in milliseconds. The maximum
+/// is short because ranks change when entries join or leave.
 const LIST_POLL_MS: (u64, u64) = (5, 200);
-/// How long a peer may take to begin its answer and for each further piece of its list, in milliseconds.
+/// Timeout for the start of a peer's answer and for each further part of the answer, in milliseconds.
 const PEER_TIMEOUT_MS: u64 = 500;
-/// How long the whole list may take, in milliseconds. With 15,000 targets it has 3 MB, which a link of
-/// 10 Mbit/s carries in 2.4 s (computed); while it comes no other peer is asked.
+/// Timeout for the transfer of a whole list, in milliseconds. A list of 15,000 targets has 3 MB and takes 2.4 s
+/// over a link of 10 Mbit/s. No other peer is asked during the transfer.
 const LIST_TIMEOUT_MS: u64 = 4_000;
 
 impl Entry {
-    /// Reads the list of targets whenever it is this entry's turn, for ever.
+    /// Reads the list of targets whenever this entry is due to. Runs until the process exits.
     pub(crate) async fn maintain_target_list(self: Arc<Self>) {
         let mut backoff = RetryBackoff::default();
         loop {
@@ -63,7 +67,8 @@
         }
     }
 
-    /// This entry's place among the readers: first those that serve, in the order that all agree on.
+    /// This entry's rank among the readers of the list. Serving entries rank first, in an order that is the same at
+    /// all entries; all other entries share the next rank.
     fn reader_rank(&self) -> u32 {
         let members = self.members.lock();
         let own = members.own().incarnation;
@@ -72,7 +77,7 @@
         position.unwrap_or(serving.len()) as u32
     }
 
-    /// Returns whether the store gave a list.
+    /// Reads the list from the store. Returns whether the read succeeded.
     async fn read_targets(&self) -> bool {
         let Some(store) = self.store() else {
             return false;
@@ -86,13 +91,13 @@
             }
             Err(error) => {
                 self.targets.lock().record_failure(self.now());
-                log::warn!(target: "targets", "The list of targets can't be read: {error}.");
+                log::warn!(target: "targets", "Reading the list of targets from the store failed: {error}.");
                 false
             }
         }
     }
 
-    /// Lets go of targets that had time to return and did not.
+    /// Removes retained targets that did not register again in time.
     pub(crate) fn expire_targets(&self) {
         let now = self.now();
         let has_expired = self.targets.lock().has_expired(now);
@@ -101,7 +106,8 @@
         }
     }
 
-    /// Changes what is known of the targets, and uses it if the change matters.
+    /// Changes the known targets. If `change` returns `true`, applies the new targets and notifies the tasks that
+    /// depend on them.
     fn change_targets(&self, change: impl FnOnce(&mut KnownTargets) -> bool) {
         let (before, after, has_changed) = {
             let mut known = self.targets.lock();
@@ -114,7 +120,7 @@
         }
         self.record_targets(&before, &after);
         log::info!(
-            target: "targets", "{} targets are known at revision {}.",
+            target: "targets", "The list has {} targets at revision {}.",
             after.targets.len(), after.revision
         );
         self.take_changed_targets();
@@ -122,20 +128,20 @@
         self.news.notify(usize::MAX);
     }
 
-    /// Takes in which run of a target has answered.
+    /// Records the run of a target that answered.
     pub(crate) fn learn_run(&self, target: &TargetState, answering: TargetIncarnation) {
         let Some(id) = target.id() else {
             return;
         };
         if target.incarnation() > Some(answering) {
-            log::debug!(target: "targets", "An earlier run of {id} answered.");
+            log::debug!(target: "targets", "An earlier run of target {id} answered.");
             return;
         }
         let now = self.now();
         self.change_targets(|known| known.record_run(id, answering, now));
     }
 
-    /// Takes in which list a peer has, and fetches it if it is newer.
+    /// Records which list a peer has, and fetches that list if it is newer than the own list.
     pub(crate) fn learn_list(
         self: &Arc<Self>,
         peer: SocketAddr,
@@ -159,7 +165,7 @@
         .detach();
     }
 
-    /// Fetches what changed since the list that is known here, or the whole list.
+    /// Fetches the steps from the own list to the peer's list, or the whole list if the steps are not available.
     async fn fetch_list(&self, peer: SocketAddr, confirmed_at: Microseconds) {
         let held = {
             let known = self.targets.lock();
@@ -176,11 +182,13 @@
         }
         match request_list::<TargetList>(peer, TARGETS_PATH.to_owned()).await {
             Ok(list) => self.accept_peer_list(list, confirmed_at),
-            Err(error) => log::warn!(target: "targets", "{error}."),
+            Err(error) => {
+                log::warn!(target: "targets", "Fetching the target list failed: {error}.")
+            }
         }
     }
 
-    /// Returns whether the peer had the steps from the list that is held.
+    /// Fetches the steps from the list `held` and applies them. Returns `false` if the whole list is needed.
     async fn fetch_steps(
         &self,
         peer: SocketAddr,
@@ -193,15 +201,15 @@
             Ok(Some(steps)) => steps,
             Ok(None) => return false,
             Err(error) => {
-                // The whole list would take longer still.
-                log::warn!(target: "targets", "{error}.");
+                // The request for the steps failed, and the whole list would take longer to transfer.
+                log::warn!(target: "targets", "Fetching steps of the target list failed: {error}.");
                 return true;
             }
         };
         match steps.apply(held, digest) {
             Ok(list) => self.accept_peer_list(list, confirmed_at),
             Err(error) => {
-                log::warn!(target: "targets", "Steps of {peer} can't be used: {error}.");
+                log::warn!(target: "targets", "Steps from peer {peer} don't apply to the own list: {error}.");
                 return false;
             }
         }
@@ -214,7 +222,7 @@
     }
 }
 
-/// Asks a peer for a list or for steps to it.
+/// Requests a list or the steps to a list from a peer.
 async fn request_list<T: DeserializeOwned>(peer: SocketAddr, path: String) -> Result<T, String> {
     let client =
         HttpClient::new(peer, PEER_TIMEOUT_MS).with_large_answers(PEER_TIMEOUT_MS, LIST_TIMEOUT_MS);
@@ -223,10 +231,10 @@
     let answer = client.call(request).await;
     let answer = answer.map_err(|error| error.to_string())?;
     serde_json::from_slice(answer.body())
-        .map_err(|error| format!("what {peer} says of targets is none: {error}"))
+        .map_err(|error| format!("peer {peer} sent an invalid list or invalid steps: {error}"))
 }
 
-/// Answers a peer that asks for the list of targets.
+/// Answers a peer's request for the list of targets. The status is 503 while no list is known.
 pub(crate) fn answer_targets(entry: &Entry) -> Response<AnyBody> {
     let (list, is_known) = {
         let known = entry.targets.lock();
@@ -235,8 +243,8 @@
     answer_json(entry, is_known.then_some(&*list))
 }
 
-/// Answers a peer that asks for the steps from the list whose digest is the query; with `null` when only the
-/// whole list helps.
+/// Answers a peer's request for the steps from the list whose digest is `digest`. The body is `null` if the steps
+/// are not available and the peer has to fetch the whole list.
 pub(crate) fn answer_steps(entry: &Entry, digest: Option<&str>) -> Response<AnyBody> {
     let digest = digest.and_then(|digest| digest.parse().ok());
     let steps = digest.and_then(|digest| entry.targets.lock().steps_from(digest));
--- a/crates/pinhaven-entry/src/targets/mod.rs
+++ b/crates/pinhaven-entry/src/targets/mod.rs
@@ -1,7 +1,8 @@
-//! What this entry knows and keeps of targets.
+//! State of the targets and connections to them.
 //!
-//! Lists from the store or peers, answers to probes and news of leaving targets come in; the state that `request` decides
-//! by, and open connections, go out. Run as tasks by `start`.
+//! Input is the list of targets from the store or from peers, answers to probes, directives in targets' answers and
+//! peers' updates on leaving targets. Output is the target state on which `request` bases its decisions, and open
+//! connections. The periodic tasks are started by `start`.
 
 pub(crate) mod added_attempts;
 pub(crate) mod leaving;
--- a/crates/pinhaven-entry/src/targets/orders.rs
+++ b/crates/pinhaven-entry/src/targets/orders.rs
@@ -1,6 +1,7 @@
-//! Taking in what targets ask for, from their answers or from another entry that has one.
+//! Applies the orders (directives) that targets send with their answers: to leave, and to rest.
 //!
-//! That a target leaves is meant for all entries, and goes on to those that serve. A rest is asked of one entry.
+//! The order to leave applies to all entries, so an entry that receives one advertises it to its peers. The order
+//! to rest applies only to the entry that received the answer.
 
 use crate::entry::Entry;
 use crate::versions::service_entry::ServiceEntry;
@@ -12,19 +13,19 @@
 use pinhaven_record::Line;
 use pinhaven_types::Microseconds;
 
-/// Where an order came from.
+/// Source from which an order was received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum OrderSource {
     /// The target's answer to a request.
     Answer,
-    /// Its answer to a probe.
+    /// The target's answer to a probe.
     Probe,
-    /// Another entry, to which the target said so.
+    /// A peer that received the order from the target.
     Entry,
 }
 
 impl OrderSource {
-    /// Name in logs.
+    /// Name in the record.
     fn name(self) -> &'static str {
         match self {
             Self::Answer => "answer",
@@ -35,7 +36,7 @@
 }
 
 impl Entry {
-    /// Takes in what a target asks for with an answer.
+    /// Applies the orders that a target sent with an answer.
     pub(crate) fn apply_orders(
         &self,
         service: &ServiceEntry,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Takes in which runs of targets told another entry that they leave.
+    /// Applies a peer's list of runs, by key, that reported that they leave.
     pub(crate) fn apply_reported_leaves(&self, keys: &[u32]) {
         let leaves = AnswerOrders {
             leaves: true,
@@ -75,14 +76,15 @@
         }
     }
 
-    /// Runs of targets that told this entry that they leave, for the others.
+    /// Keys of runs that reported to this entry that they leave, to be advertised to peers.
     pub(crate) fn leaves_to_advertise(&self) -> Vec<u32> {
         let mut leaves = self.heard_leaves.lock();
         leaves.expire(self.now());
         leaves.keys()
     }
 
-    /// Lets the others hear at once that a target leaves. One without an id is told by its address.
+    /// Advertises to peers without delay that a target leaves. A target without an id has no key and is sent by
+    /// address with the leaving targets.
     fn advertise_leave(&self, target: &TargetState) {
         if let Some(key) = target.key() {
             self.heard_leaves.lock().record(key, self.now());
@@ -90,13 +92,13 @@
         self.news.notify(usize::MAX);
     }
 
-    /// The orders that can be read, with no rest longer than a target may ask for.
+    /// The valid orders of an answer, with the rest limited to the maximum in the settings.
     fn bound_orders(&self, received: &HeardOrders, target: &TargetState) -> AnswerOrders {
         let rest_max = Microseconds::from_ms(self.settings.target_rest_most_ms);
         let is_too_long = received.orders.rest > Some(rest_max);
         if received.has_bad_rest || is_too_long {
             self.counters.add(Count::TargetRestBad);
-            log::debug!(target: "orders", "Target {} asks for a rest that is none.", target.name());
+            log::debug!(target: "orders", "Target {} sent a rest that is invalid or too long.", target.name());
         }
         AnswerOrders {
             rest: received.orders.rest.map(|rest| rest.min(rest_max)),
@@ -106,7 +108,7 @@
 
     fn record_leave(&self, service: &ServiceEntry, target: &TargetState, source: OrderSource) {
         self.counters.add(Count::TargetLeft);
-        log::info!(target: "orders", "Target {} says that it leaves.", target.name());
+        log::info!(target: "orders", "Target {} reports that it is leaving.", target.name());
         self.record_line(|| order_line("told_leaving", service, target, source));
     }
 
@@ -119,7 +121,7 @@
     ) {
         let rest_ms = rest.as_ms();
         self.counters.add(Count::TargetRests);
-        log::info!(target: "orders", "Target {} asks for {rest_ms:.0} ms of rest.", target.name());
+        log::info!(target: "orders", "Target {} asks for a rest of {rest_ms:.0} ms.", target.name());
         self.record_line(|| {
             order_line("told_rest", service, target, source).with_number("rest_ms", rest_ms)
         });
--- a/crates/pinhaven-entry/src/targets/owned_targets.rs
+++ b/crates/pinhaven-entry/src/targets/owned_targets.rs
@@ -1,9 +1,11 @@
-//! Which entry owns a target: it asks the target how fast it is, and goes there first.
+//! Owners of targets. The owner of a target probes the target's speed and prefers the target for its requests.
 //!
-//! Counts of requests under way are as old as the last round of news. While entries keep to targets of
-//! their own, those counts don't matter, as each knows its own exactly; a target of another owner is for
-//! when the own ones are full or slow. The owner stands in the target's failure domain where one can, so
-//! that less crosses domains.
+//! Peers' counts of requests in flight are as old as their last update. An entry knows its own counts exactly, so
+//! the delay does not matter while each entry sends only to targets that it owns. Targets of other owners are used
+//! when the own targets are full or slow. The owner is in the target's failure domain if possible, to reduce the
+//! traffic between domains.
+//!
+//! Every entry computes the owners by rendezvous hashing over the serving entries, without a message.
 
 use crate::entry::Entry;
 use crate::versions::snapshot::Snapshot;
@@ -11,8 +13,8 @@
 use pinhaven_types::FailureDomain;
 use pinhaven_types::Incarnation;
 
-/// Entries that carry less than this part of what the largest does own none: asking targets would
-/// take the greater part of their processor.
+/// Entries whose capacity is below that of the largest entry divided by this number own no targets: probing would
+/// use most of their processor time.
 const OWNER_CAPACITY_DIVISOR: u32 = 2;
 
 /// An entry that may own targets.
@@ -22,7 +24,7 @@
     failure_domain: FailureDomain,
 }
 
-/// The targets that an entry owns, for as long as the same entries serve the same targets.
+/// Targets that this entry owns, cached while neither the candidates nor the targets change.
 #[derive(Debug, Default)]
 pub(crate) struct OwnedTargets {
     candidates: Vec<Candidate>,
@@ -31,7 +33,7 @@
 }
 
 impl OwnedTargets {
-    /// Brings up to date which targets `entry` owns.
+    /// Computes which targets of `snapshot` the entry owns, if the candidates or the targets have changed.
     pub(crate) fn refresh(&mut self, entry: &Entry, snapshot: &Snapshot) {
         let candidates = candidates(entry);
         let mut keys: Vec<u32> = snapshot.keyed_targets().keys().copied().collect();
@@ -55,12 +57,13 @@
         self.keys = keys;
     }
 
-    /// The keys of those targets.
+    /// Keys of the owned targets.
     pub(crate) fn own_keys(&self) -> &[u32] {
         &self.own_keys
     }
 }
 
+/// The serving entries whose capacity is large enough to own targets.
 fn candidates(entry: &Entry) -> Vec<Candidate> {
     let members = entry.members.lock();
     let serving = members.serving(entry.now());
@@ -76,8 +79,8 @@
         .collect()
 }
 
-/// The candidate that ranks first for a target, among those of the target's failure domain if there
-/// are any.
+/// The owner of a target: the candidate with the lowest hash of target key and incarnation, among the candidates of
+/// the target's failure domain if there are any.
 fn owner_of(key: u32, domain: &FailureDomain, candidates: &[Candidate]) -> Option<Incarnation> {
     let rank = |candidate: &&Candidate| {
         let incarnation = candidate.incarnation.to_bytes();
--- a/crates/pinhaven-entry/src/targets/pool.rs
+++ b/crates/pinhaven-entry/src/targets/pool.rs
@@ -1,4 +1,7 @@
-//! Connections to targets, kept for reuse.
+//! Pools of connections to targets.
+//!
+//! A connection returns to the pool of its target after the answer has been read completely, and is reused until
+//! it has been idle for too long. Requests and probes need a [`SendPermit`] to be sent.
 
 use bytes::Bytes;
 use http::Request;
@@ -19,38 +22,45 @@
 /// A connection to a target.
 pub(crate) type Sender = http1::SendRequest<AnyBody>;
 
-/// How long a target may take to accept a connection. Failure domains are a few milliseconds apart; a
-/// target that is gone says nothing, and the system would try for minutes.
+/// Timeout for a target to accept a connection. The round trip between failure domains is a few milliseconds. A
+/// host that is down does not answer, and the operating system would retry for minutes.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long it is waited for the word that nobody listens at a target's address any more. The machine of a process
-/// that has ended says so within one way there and back, some 2 ms between failure domains; retries wait as long.
+/// Timeout for a target's host to refuse a connection after the target's process has ended. The refusal takes one
+/// round trip, about 2 ms between failure domains. Retries wait for the result.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(25);
 
-/// Times that it is looked, and how long a connection must stay up to show that the target still runs, in milliseconds.
+/// Maximum number of connection attempts per check for a refusal.
 const REFUSAL_CHECKS: u32 = 2;
+/// How long a new connection must stay open to show that the target still runs, in milliseconds.
 const STAY_UP_MS: u64 = 2;
 
-/// How long a connection may have been idle to be used again. Targets close them after some time,
-/// often 10 s, and a request that crosses the close is lost.
+/// Maximum idle time of a connection that is reused. Targets close idle connections after a timeout, often 10 s,
+/// and a request that is sent while the target closes the connection is lost.
 pub(crate) const IDLE_MAX: Duration = Duration::from_secs(8);
-/// The same for a request that may not be repeated, as nothing can mend its loss.
+/// Maximum idle time of a connection that is reused for a request that may not be repeated. The time is shorter
+/// because such a request can't be retried when it is lost.
 pub(crate) const IDLE_MAX_ONCE: Duration = Duration::from_secs(2);
 
-/// Idle connections to one target, and since when, the last used last.
+/// Idle connections to one target with the time since which each is idle, the most recently used last.
 #[derive(Default)]
 pub(crate) struct TargetPool {
     idle: Mutex<Vec<(Instant, Sender)>>,
 }
 
-/// A connection and whether it was just made.
+/// A connection, and whether it was newly opened.
 pub(crate) struct Connected {
     pub(crate) sender: Sender,
     pub(crate) is_new: bool,
 }
 
 impl TargetPool {
-    /// A connection that takes a request now, a kept one only if it was used less than `idle_max` ago.
+    /// Returns a connection that is ready for a request: a pooled one that has been idle for less than `idle_max`, or
+    /// a new one.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no new connection can be opened in time.
     pub(crate) async fn connect(
         &self,
         target: TargetAddress,
@@ -66,7 +76,7 @@
         }
         let connecting = http1_sender(target.socket_address());
         let Some(connected) = within(CONNECT_TIMEOUT, connecting).await else {
-            return Err(format!("{target} did not accept a connection in time").into());
+            return Err(format!("{target} did not accept a connection within the timeout").into());
         };
         let mut sender = connected?;
         sender.ready().await?;
@@ -76,7 +86,8 @@
         })
     }
 
-    /// Whether nobody listens at a target's address any more. A connection that stays up is kept.
+    /// Whether the target's host refuses connections, so no process listens at the address. A connection that stays
+    /// open is put into the pool.
     pub(crate) async fn is_connection_refused(&self, target: TargetAddress) -> bool {
         for _ in 0..REFUSAL_CHECKS {
             let connecting = http1_sender(target.socket_address());
@@ -85,7 +96,7 @@
                 Some(Err(error)) => return is_refusal(&error),
                 None => return false,
             };
-            // A process that ends closes its connections a moment before its listener, or after.
+            // A process that ends may close its connections shortly before or after its listener.
             sleep_ms(STAY_UP_MS).await;
             if !sender.is_closed() {
                 self.put(sender);
@@ -95,14 +106,15 @@
         false
     }
 
-    /// Keeps a connection whose answer has been read to its end.
+    /// Puts a connection into the pool after its answer has been read completely.
     pub(crate) fn put(&self, sender: Sender) {
         if !sender.is_closed() {
             self.idle.lock().push((Instant::now(), sender));
         }
     }
 
-    /// The connection used last. If that is too long ago, all others are older and are closed.
+    /// Takes the most recently used connection. If that connection has been idle for longer than [`IDLE_MAX`], all
+    /// connections in the pool are at least as old and are closed.
     fn take_idle(&self, idle_max: Duration) -> Option<Sender> {
         let mut idle = self.idle.lock();
         let (idle_since, sender) = idle.pop()?;
@@ -123,16 +135,16 @@
     error.is_some_and(|error| error.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// What became of a request that was handed to a connection.
+/// Result of sending a request over a connection.
 pub(crate) enum SendResult {
     Answer(http::Response<hyper::body::Incoming>, Sender),
-    /// The connection had closed before anything was written; the request is back.
+    /// The connection was closed before any part of the request was written; holds the request.
     Unsent(Box<Request<AnyBody>>),
     Broken(hyper::Error),
 }
 
-/// Sends a request over a connection. This is the only way to a target for requests, and takes the leave to send as it is
-/// at that moment: one that was chosen earlier may have begun to leave or to rest since.
+/// Sends a request over a connection. All requests to targets are sent by this function. It consumes a permit that is
+/// obtained immediately before sending, because the target may have begun to leave or rest after it was chosen.
 pub(crate) async fn send(
     _permit: SendPermit,
     mut sender: Sender,
@@ -147,7 +159,7 @@
     }
 }
 
-/// Gives a connection back to its pool once the answer has been read to its end.
+/// A connection that is put back into its pool once the answer has been read completely.
 pub(crate) struct PooledSender {
     pool: Arc<TargetPool>,
     sender: Option<Sender>,
@@ -161,7 +173,7 @@
         }
     }
 
-    /// The answer has been read to its end.
+    /// Puts the connection back into its pool. Called once the answer has been read completely.
     pub(crate) fn release(&mut self) {
         if let Some(sender) = self.sender.take() {
             self.pool.put(sender);
@@ -169,7 +181,7 @@
     }
 }
 
-/// The request of a probe, for one who may send it now; `None` when the path can't be asked for.
+/// Builds the request of a probe; consumes the permit to send it. Returns `None` if the path is invalid.
 pub(crate) fn probe_request(_permit: SendPermit, path: &str) -> Option<Request<Bytes>> {
     Request::get(path).body(Bytes::new()).ok()
 }
--- a/crates/pinhaven-entry/src/targets/probes.rs
+++ b/crates/pinhaven-entry/src/targets/probes.rs
@@ -1,7 +1,7 @@
-//! Probing the targets of this entry's seat, within the budget.
+//! Probes of the targets that belong to this entry's seat, within the probe budget.
 //!
-//! Probes find what replies can't: that an idle target has begun to drain, or to answer again. They
-//! are sent one after another, each after the seat and the budget were asked.
+//! Probes detect what answers to requests don't show: that an idle target has begun to drain, or answers again.
+//! Probes are sent one after another, and the seat and the budget are checked before each of them.
 
 use crate::entry::Entry;
 use crate::targets::orders::OrderSource;
@@ -20,22 +20,22 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How often an entry without a seat looks whether it has one, in milliseconds.
+/// Interval at which an entry without a seat checks whether it has acquired one, in milliseconds.
 const SEAT_POLL_MS: u64 = 500;
-/// The shortest and the longest pause between two looks for due probes, in milliseconds.
+/// Minimum and maximum time between two checks for due probes, in milliseconds.
 const PAUSE_MS: std::ops::RangeInclusive<u64> = 5..=500;
-/// How long a target may take to answer a probe, in milliseconds.
+/// Timeout for a target's answer to a probe, in milliseconds.
 const PROBE_TIMEOUT_MS: u64 = 1_000;
 
 type ProbedTargets = BTreeMap<(ServiceName, TargetAddress), ProbedTarget>;
 
-/// A target of the seat, with its budget and the connection that its probes use.
+/// Probe budget of a target of the seat, and the client that sends its probes.
 struct ProbedTarget {
     budget: ProbeBudget,
     client: HttpClient,
 }
 
-/// The budgets of the targets of one seat in one version.
+/// Budgets of the targets of one seat in one version.
 struct ProbeRound {
     version: BundleVersion,
     seat: u32,
@@ -43,7 +43,7 @@
 }
 
 impl ProbeRound {
-    /// The time until the next probe is due, in milliseconds.
+    /// Time until the next probe is due, in milliseconds, within the limits of [`PAUSE_MS`].
     fn pause_ms(&self, now: Microseconds) -> u64 {
         let dues = self.targets.values().filter_map(|t| t.budget.next_at());
         let next_at = dues
@@ -55,7 +55,7 @@
 }
 
 impl Entry {
-    /// Sends probes for ever.
+    /// Probes the targets of this entry's seat. Runs until the process exits.
     pub(crate) async fn probe(self: Arc<Self>) {
         let mut round: Option<ProbeRound> = None;
         loop {
@@ -85,8 +85,8 @@
         }
     }
 
-    /// The budgets for a new version or seat. What a target's budget has spent is retained, unless the
-    /// service changed: then it begins anew with a pause, as after a change of holders.
+    /// Creates the budgets for a new version or seat. The budget of a target that was probed before is retained,
+    /// unless its plan has changed: then a new budget begins with a wait, as after a change of the seat's holder.
     fn begin_round(&self, seat: u32, previous: Option<ProbeRound>) -> ProbeRound {
         let snapshot = self.snapshot.load();
         let measuring = &snapshot.bundle().measuring;
@@ -141,7 +141,7 @@
         if budget.next_at().is_none_or(|at| at > now) {
             return;
         }
-        // The seat is asked last, so that a pause before this line costs no probe.
+        // The seat is checked last: if this task was paused and the seat expired meanwhile, no probe is sent.
         let holds_seat = self.seats.lock().seat(self.now()) == Some(seat);
         if !holds_seat || !budget.take(now) {
             return;
@@ -156,7 +156,7 @@
         let Ok(answer) = answer else {
             return self.counters.add(Count::ProbeFailed);
         };
-        // What a target asks for holds whichever way it is asked.
+        // Orders in answers to probes apply in the same way as orders in answers to requests.
         let orders = self.dialect.read_orders(answer.status(), answer.headers());
         self.apply_orders(service, state, &orders, OrderSource::Probe);
         match load_report::from_json(answer.body()) {
--- a/crates/pinhaven-entry/src/targets/reported_leaves.rs
+++ b/crates/pinhaven-entry/src/targets/reported_leaves.rs
@@ -1,29 +1,33 @@
-//! Targets that told this entry themselves that they leave, as far as the others should hear of it.
+//! Runs of targets that reported to this entry that they leave.
+//!
+//! The entry advertises these runs to its peers for a limited time.
 
 use pinhaven_types::Microseconds;
 
-/// How long the others are told. Datagrams get lost; twenty whole ones in a row do not.
+/// How long a run is advertised. Single datagrams get lost; the period covers about twenty full datagrams, and the
+/// loss of all of them is negligible.
 const ADVERTISE_FOR: Microseconds = Microseconds::from_ms(10_000);
-/// Runs told of in one datagram, the last heard first, so that it fits into one packet beside all else.
+/// Maximum number of runs in one datagram, so that the datagram fits into one packet with its other content. The
+/// latest runs are preferred.
 const ADVERTISED_MAX: usize = 64;
 
-/// Short hashes of runs of targets, and when each was heard, the last at the end.
+/// Keys (short hashes) of leaving runs with the time of each report, in the order of the reports.
 #[derive(Debug, Default)]
 pub(crate) struct ReportedLeaves(Vec<(u32, Microseconds)>);
 
 impl ReportedLeaves {
-    /// Takes in that a run said so at `now`.
+    /// Records that a run reported at `now` that it leaves.
     pub(crate) fn record(&mut self, key: u32, now: Microseconds) {
         self.0.push((key, now));
     }
 
-    /// Forgets those that the others had time to hear of.
+    /// Removes runs that have been advertised long enough.
     pub(crate) fn expire(&mut self, now: Microseconds) {
         self.0
             .retain(|(_, reported_at)| now.saturating_sub(*reported_at) < ADVERTISE_FOR);
     }
 
-    /// The runs to tell of.
+    /// Keys of the runs to advertise, the latest first.
     pub(crate) fn keys(&self) -> Vec<u32> {
         let latest = self.0.iter().rev().take(ADVERTISED_MAX);
         latest.map(|(key, _)| *key).collect()
--- a/crates/pinhaven-entry/src/targets/restarts.rs
+++ b/crates/pinhaven-entry/src/targets/restarts.rs
@@ -1,32 +1,33 @@
-//! Targets that have started again, for the attempts that are under way there.
+//! Ends attempts in flight at targets that have restarted.
 //!
-//! A machine that restarts may close no connection. What it had under way is lost all the same, and an
-//! attempt that waited for its timeout would take the time in which it can be repeated elsewhere.
+//! A machine that restarts may not close its connections. Its requests in flight are lost, and an attempt that
+//! waited for its timeout would use up the time in which the request can be retried at another target. Attempts
+//! therefore wait for their answer and for a later run of the target at once.
 
 use crate::entry::Entry;
 use event_listener::Event;
 use pinhaven_decide::TargetState;
 use std::future::Future;
 
-/// Notified when the list of targets has changed, so that a later run of one may be known.
+/// Event that is notified when the list of targets has changed, so that a later run of a target may be known.
 #[derive(Default)]
 pub(crate) struct Restarts(Event);
 
 impl Restarts {
-    /// Lets all attempts look whether it is their target.
+    /// Wakes all attempts so that each checks whether its target has restarted.
     pub(crate) fn notify_all(&self) {
         self.0.notify(usize::MAX);
     }
 }
 
 impl Entry {
-    /// Whether a later run of the target is known. Only for a target that is leaving the list is looked
-    /// at: the state of an earlier run is marked so before the later one is announced.
+    /// Whether a later run of the target is known. The list is only checked for a target that is leaving: the state
+    /// of an earlier run is marked as leaving before attempts are notified of the later run.
     pub(crate) fn has_restarted(&self, target: &TargetState) -> bool {
         target.is_leaving() && self.is_superseded(target)
     }
 
-    /// What comes of `work` at a target; `None` when it is known before that the target has started again.
+    /// Runs `work` at a target. Returns `None` if a later run of the target becomes known before `work` completes.
     pub(crate) async fn unless_restarted<T>(
         &self,
         target: &TargetState,
@@ -40,14 +41,14 @@
             self.wait_for_restart(target).await;
             None
         };
-        // An answer that is there already counts.
+        // `work` is polled first, so an answer that has already arrived is used.
         futures_lite::future::or(work, restart).await
     }
 
-    /// Comes once a later run of the target is known.
+    /// Waits until a later run of the target is known.
     pub(crate) async fn wait_for_restart(&self, target: &TargetState) {
         loop {
-            // Listening begins before the look, so that no word is missed.
+            // The listener is registered before the check, so that no notification is missed.
             let listener = self.restarts.0.listen();
             if self.has_restarted(target) {
                 return;
--- a/crates/pinhaven-entry/src/targets/seats.rs
+++ b/crates/pinhaven-entry/src/targets/seats.rs
@@ -1,4 +1,6 @@
-//! Carrying out what the seat keeper says.
+//! Carries out the actions of the seat state machine: lists the rows of the seats and writes the own row.
+//!
+//! The holder of a seat probes the targets of the seat. Seats are leases in the platform's table.
 
 use crate::entry::Entry;
 use pinhaven_agree::SeatAction;
@@ -13,11 +15,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How often the keeper is asked, in milliseconds.
+/// Interval at which the seat state machine is asked for an action, in milliseconds.
 const TICK_MS: u64 = 500;
 
 impl Entry {
-    /// Renews this entry's seat, or tries to get one, for ever.
+    /// Renews this entry's seat or tries to acquire one. Runs until the process exits.
     pub(crate) async fn maintain_seat(self: Arc<Self>) {
         loop {
             sleep_ms(TICK_MS).await;
@@ -32,7 +34,7 @@
         }
     }
 
-    /// Whether any service wants probes.
+    /// Whether any service has a probe path and a measuring budget.
     fn has_probed_service(&self) -> bool {
         let snapshot = self.snapshot.load();
         snapshot.bundle().services.iter().any(|service| {
@@ -66,12 +68,12 @@
         let value = serde_json::to_string(row).unwrap_or_default();
         let condition = listed.map_or(Condition::Absent, Condition::Version);
         let written = self.table.write(&key, condition, value).await;
-        // A write that nobody can tell the outcome of counts as none: the next listing shows it.
+        // A write with an unknown outcome counts as failed; if it took effect, the next listing shows the row.
         let took_effect = self.count_platform(written).is_ok();
         self.seats.lock().record_write(seat, took_effect, asked_at);
     }
 
-    /// The seat that a row's key names.
+    /// Number of the seat in a row's key; `None` if the key has none.
     fn seat_number(&self, row: &Row) -> Option<u32> {
         let number = row.key.strip_prefix(SEAT_PREFIX).unwrap_or_default();
         let seat = number.parse().map_err(RowFault::key);
@@ -79,7 +81,7 @@
             .ok()
     }
 
-    /// Who holds a seat; nobody if the row is another writer's.
+    /// Content of a seat's row; a row without a holder if the content has another form.
     fn seat_row(&self, row: &Row) -> SeatRow {
         serde_json::from_str(&row.value).unwrap_or_else(|error| {
             let fault = RowFault::form(error);
--- a/crates/pinhaven-entry/src/targets/speed_probes.rs
+++ b/crates/pinhaven-entry/src/targets/speed_probes.rs
@@ -1,7 +1,7 @@
-//! Asking targets how fast they are, when their answers don't say it often enough.
+//! Probes of targets' speed, for targets whose answers to requests don't report it often enough.
 //!
-//! Each target is asked by its owner. While entries disagree on who serves, several may ask; so each
-//! entry keeps to an equal part of what all together may send.
+//! The owner of a target probes it. While entries disagree on which entries serve, several entries may probe the
+//! same target, so each entry limits its probes to an equal part of what all entries together may send.
 
 use crate::entry::Entry;
 use crate::targets::orders::OrderSource;
@@ -19,14 +19,14 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
-/// Time between two looks for targets that are due, in milliseconds.
+/// Interval between two checks for targets that are due, in milliseconds.
 const TICK_MS: u64 = 15;
-/// The same for an entry that asks none, in milliseconds.
+/// Interval between two checks at an entry that owns no target, in milliseconds.
 const IDLE_TICK_MS: u64 = 200;
-/// How long a target may take to answer, in milliseconds.
+/// Timeout for a target's answer to a probe, in milliseconds.
 const TIMEOUT_MS: u64 = 400;
 
-/// A target that this entry asks.
+/// Probe state of a target that this entry owns.
 struct ProbedTarget {
     pace: ProbePace,
     client: Arc<HttpClient>,
@@ -34,7 +34,7 @@
 }
 
 impl Entry {
-    /// Sends probes, for ever.
+    /// Probes the speed of the owned targets. Runs until the process exits.
     pub(crate) async fn probe_speeds(self: Arc<Self>) {
         let mut owned = OwnedTargets::default();
         let mut probed: HashMap<u32, ProbedTarget> = HashMap::new();
@@ -117,13 +117,13 @@
             Ok(answer) => answer,
             Err(error) => {
                 self.counters.add(Count::ProbeFailed);
-                log::debug!(target: "probe", "{error}.");
+                log::debug!(target: "probe", "Probing the speed of a target failed: {error}.");
                 return;
             }
         };
         let answered_by = self.dialect.probed_target(answer.headers());
         if answered_by.is_some() && answered_by.as_ref() != target.id() {
-            log::info!(target: "probe", "Another target has the address of {}.", target.address());
+            log::info!(target: "probe", "Another target answered at the address {}.", target.address());
             target.mark_leaving();
             return;
         }
@@ -131,7 +131,7 @@
         if let (Some(answering), Some(known)) = (answering, target.incarnation())
             && answering != known
         {
-            // The report is of another run; a later one is asked again.
+            // The report is from another run and is not used. A later run is recorded and probed again.
             self.learn_run(target, answering);
             return;
         }
