--- a/crates/pinhaven-entry/src/once_only/execute.rs
+++ b/crates/pinhaven-entry/src/once_only/execute.rs
@@ -1,8 +1,8 @@
 //! Execution of once-only requests: requests that may not be repeated and carry an `Idempotency-Key`.
 //!
 //! Only the home of the key dispatches the request, whichever entry the caller sent it to. The home's
-//! ledger records each key and the answer, so that a request with a known key is answered without a
-//! second dispatch. The dispatch continues after the caller disconnects, so that a later request with the
+//! ledger records each key and its answer, so that a request that may have run is never dispatched again.
+//! The dispatch continues after the caller disconnects, so that a later request with the
 //! same key finds the answer.
 
 use crate::callers::body::RequestBody;
@@ -145,7 +145,7 @@
     let (sender, receiver) = async_channel::bounded(1);
     spawn(async move {
         let response = dispatch_once(job, hold, claim).await;
-        // Sending fails if the caller has disconnected; the ledger then holds the answer.
+        // This fails if the caller has disconnected; the ledger then holds the answer.
         let _ = sender.send(response).await;
     })
     .detach();
--- a/crates/pinhaven-entry/src/targets/listed_targets.rs
+++ b/crates/pinhaven-entry/src/targets/listed_targets.rs
@@ -182,9 +182,7 @@
         }
         match request_list::<TargetList>(peer, TARGETS_PATH.to_owned()).await {
             Ok(list) => self.accept_peer_list(list, confirmed_at),
-            Err(error) => {
-                log::warn!(target: "targets", "Fetching the target list failed: {error}.")
-            }
+            Err(error) => log::warn!(target: "targets", "Fetching the list failed: {error}."),
         }
     }
 
@@ -202,7 +200,7 @@
             Ok(None) => return false,
             Err(error) => {
                 // The request for the steps failed, and the whole list would take longer to transfer.
-                log::warn!(target: "targets", "Fetching steps of the target list failed: {error}.");
+                log::warn!(target: "targets", "Fetching steps of the list failed: {error}.");
                 return true;
             }
         };
--- a/crates/pinhaven-entry/src/targets/reported_leaves.rs
+++ b/crates/pinhaven-entry/src/targets/reported_leaves.rs
@@ -4,8 +4,8 @@
 
 use pinhaven_types::Microseconds;
 
-/// How long a run is advertised. Single datagrams get lost; the period covers about twenty full datagrams, and the
-/// loss of all of them is negligible.
+/// How long a run is advertised. Single datagrams get lost; the period covers twenty full datagrams, and the
+/// chance that all of them are lost is negligible.
 const ADVERTISE_FOR: Microseconds = Microseconds::from_ms(10_000);
 /// Maximum number of runs in one datagram, so that the datagram fits into one packet with its other content. The
 /// latest runs are preferred.
--- a/crates/pinhaven-entry/src/targets/restarts.rs
+++ b/crates/pinhaven-entry/src/targets/restarts.rs
@@ -2,7 +2,7 @@
 //!
 //! A machine that restarts may not close its connections. Its requests in flight are lost, and an attempt that
 //! waited for its timeout would use up the time in which the request can be retried at another target. Attempts
-//! therefore wait for their answer and for a later run of the target at once.
+//! therefore wait concurrently for their answer and for a later run of the target.
 
 use crate::entry::Entry;
 use event_listener::Event;
