--- a/crates/pinhaven-entry/src/entry.rs
+++ b/crates/pinhaven-entry/src/entry.rs
@@ -7,8 +7,8 @@
 use crate::crashes::watch::CrashWatch;
 use crate::once_only::claim_rate::ClaimRate;
 use crate::peers::peer_counts::PeerCounts;
-use crate::targets::heard_leaves::HeardLeaves;
-use crate::targets::leaving_news::LeavingNews;
+use crate::targets::leaving_targets::LeavingTargets;
+use crate::targets::reported_leaves::ReportedLeaves;
 use crate::targets::restarts::Restarts;
 use crate::versions::snapshot::Snapshot;
 use crate::versions::store_pace;
@@ -151,9 +151,9 @@
     pub(crate) ledger: Mutex<Ledger>,
     pub(crate) members: Mutex<Membership>,
     pub(crate) seats: Mutex<SeatKeeper>,
-    pub(crate) leaving: Mutex<LeavingNews>,
+    pub(crate) leaving: Mutex<LeavingTargets>,
     /// Targets that reported to this entry that they are leaving, to be advertised to peers.
-    pub(crate) reported_leaves: Mutex<HeardLeaves>,
+    pub(crate) reported_leaves: Mutex<ReportedLeaves>,
     /// Members that peers advertise and whose row this entry lacks.
     pub(crate) unknown_members: Mutex<BTreeSet<Incarnation>>,
     /// Notified when a change must be sent to peers without waiting for the next exchange.
@@ -237,7 +237,7 @@
             ledger: Mutex::new(Ledger::new(limits)),
             members: Mutex::new(Membership::new(row, silent_after)),
             seats: Mutex::new(SeatKeeper::new(incarnation, 0)),
-            leaving: Mutex::new(LeavingNews::default()),
+            leaving: Mutex::new(LeavingTargets::default()),
             reported_leaves: Mutex::default(),
             unknown_members: Mutex::new(BTreeSet::new()),
             urgent_update: event_listener::Event::new(),
--- a/crates/pinhaven-entry/src/peers/datagram_receiver.rs
+++ b/crates/pinhaven-entry/src/peers/datagram_receiver.rs
@@ -67,7 +67,7 @@
         }
         self.record_heartbeats(&datagram.beats);
         self.merge_suspects(&datagram.suspects);
-        self.hear_leaves(&datagram.leaving);
+        self.apply_reported_leaves(&datagram.leaving);
         let targets = datagram.targets.unwrap_or_default().rows();
         self.apply_target_updates(incarnation, &beat, &targets, datagram.is_whole);
         let rpc_address = self.rpc_address(incarnation).unwrap_or(peer);
@@ -76,7 +76,7 @@
             let age = list
                 .age_ms
                 .map(|age_ms| Microseconds::from_ms(u64::from(age_ms)));
-            self.hear_list(rpc_address, list.revision, list.digest, age);
+            self.learn_list(rpc_address, list.revision, list.digest, age);
             if let Some(steady_ms) = list.steady_ms {
                 let steady = Microseconds::from_ms(u64::from(steady_ms));
                 let since = self.now().saturating_sub(steady);
--- a/crates/pinhaven-entry/src/peers/datagram_sender.rs
+++ b/crates/pinhaven-entry/src/peers/datagram_sender.rs
@@ -353,7 +353,7 @@
         };
         let leaving = match kind {
             UpdateKind::Incremental => Vec::new(),
-            UpdateKind::Full { .. } => self.leaves_to_tell(),
+            UpdateKind::Full { .. } => self.leaves_to_advertise(),
         };
         let members = self.members.lock();
         let own = members.own();
--- a/crates/pinhaven-entry/src/peers/gossip.rs
+++ b/crates/pinhaven-entry/src/peers/gossip.rs
@@ -5,7 +5,7 @@
 
 use crate::crashes::advertise::SUSPECTS_PER_DATAGRAM;
 use crate::entry::Entry;
-use crate::once_only::relayed;
+use crate::once_only::relay_server;
 use crate::peers::gossip_message::HEARTBEATS_MAX;
 use crate::peers::gossip_message::heartbeat_of;
 use crate::peers::gossip_message::identity_of;
@@ -97,7 +97,7 @@
     fn begin_gossip_round(&self) -> bool {
         let snapshot = self.snapshot.load();
         let now = self.now();
-        let has_updates = self.leaving.lock().gather(&snapshot, now);
+        let has_updates = self.leaving.lock().collect(&snapshot, now);
         let epoch = self.ledger.lock().epoch().0;
         let mut members = self.members.lock();
         members.advance_heartbeat(snapshot.version, epoch);
@@ -143,13 +143,13 @@
             sender: Some(identity_of(members.own())),
             beats: sample_heartbeats(members.rows()),
             wanted: wanted.iter().take(WANTED_MAX).map(to_bytes).collect(),
-            leaving: self.leaving.lock().fresh(self.now()),
+            leaving: self.leaving.lock().recent(self.now()),
         }
     }
 
     /// Records a peer's answer. Returns the version that the peer has in force.
     fn record_response(&self, response: ExchangeResponse) -> BundleVersion {
-        self.hear_leaving(&response.leaving);
+        self.apply_leaving(&response.leaving);
         self.merge_suspects(&response.suspects);
         let peer_version = self.record_sender(response.sender, &response.beats);
         for identity in response.identities {
@@ -273,7 +273,7 @@
         let entry = &self.0;
         let request = request.into_inner();
         let received = request.encoded_len() as u64;
-        entry.hear_leaving(&request.leaving);
+        entry.apply_leaving(&request.leaving);
         entry.merge_suspects(&request.suspects);
         let sender = request.sender.as_ref().and_then(peer_address_of);
         let peer_version = entry.record_sender(request.sender, &request.beats);
@@ -305,7 +305,7 @@
         &self,
         request: Request<RelayOnceRequest>,
     ) -> Result<Response<RelayOnceResponse>, Status> {
-        let answer = relayed::answer_relayed(&self.0, request.into_inner()).await;
+        let answer = relay_server::answer_relayed(&self.0, request.into_inner()).await;
         Ok(Response::new(answer))
     }
 }
@@ -332,7 +332,7 @@
         sender,
         beats,
         identities,
-        leaving: entry.leaving.lock().fresh(entry.now()),
+        leaving: entry.leaving.lock().recent(entry.now()),
         suspects,
     }
 }
--- a/crates/pinhaven-entry/src/request/answer_body.rs
+++ b/crates/pinhaven-entry/src/request/answer_body.rs
@@ -8,7 +8,7 @@
 use crate::entry::Entry;
 use crate::request::capacity_waiters::CapacityWaiters;
 use crate::request::record_context::RecordContext;
-use crate::targets::pool::ReturnSender;
+use crate::targets::pool::PooledSender;
 use crate::watch::counters::Count;
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -117,7 +117,7 @@
     pub(crate) entry: Arc<Entry>,
     pub(crate) attempt: Option<Attempt>,
     pub(crate) capacity_freed: Arc<CapacityWaiters>,
-    pub(crate) sender: ReturnSender,
+    pub(crate) sender: PooledSender,
     /// Facts for record lines on the request; `None` if the entry has no recorder.
     pub(crate) record_context: Option<RecordContext>,
     /// Held only for its `Drop`.
@@ -219,7 +219,7 @@
         if let Some(mut guard) = self.guard.take()
             && holds
         {
-            guard.sender.finished();
+            guard.sender.release();
         }
         holds
     }
--- a/crates/pinhaven-entry/src/request/attempt.rs
+++ b/crates/pinhaven-entry/src/request/attempt.rs
@@ -6,10 +6,10 @@
 use crate::request::answer_body::is_bounded;
 use crate::targets::orders::OrderSource;
 use crate::targets::pool;
-use crate::targets::pool::IDLE_MOST;
-use crate::targets::pool::IDLE_MOST_ONCE;
+use crate::targets::pool::IDLE_MAX;
+use crate::targets::pool::IDLE_MAX_ONCE;
+use crate::targets::pool::SendResult;
 use crate::targets::pool::Sender;
-use crate::targets::pool::Sent;
 use crate::targets::pool::TargetPool;
 use crate::versions::service_entry::ServiceEntry;
 use crate::watch::counters::Count;
@@ -103,9 +103,9 @@
     };
     let id = job.entry.dialect.write_attempt(headers, &facts);
     let idle_max = if job.is_repeatable {
-        IDLE_MOST
+        IDLE_MAX
     } else {
-        IDLE_MOST_ONCE
+        IDLE_MAX_ONCE
     };
     Some(PreparedRequest {
         request,
@@ -127,7 +127,7 @@
     let end = send_attempt(entry, service, &target, &pool, prepared).await;
     let is_broken = matches!(end, AttemptEnd::Broken | AttemptEnd::Cut);
     // The end of a leaving target is planned and is no crash, even if the target aborts its requests.
-    if is_broken && !target.is_leaving() && pool.is_refused(address).await {
+    if is_broken && !target.is_leaving() && pool.is_connection_refused(address).await {
         return AttemptEnd::Crashed;
     }
     end
@@ -160,7 +160,7 @@
         }
         // The target may have begun to leave or to rest while the connection was established.
         let Ok(permit) = target.send_permit(entry.now()) else {
-            pool.keep(connected.sender);
+            pool.put(connected.sender);
             return AttemptEnd::TargetClosed;
         };
         let sending = pool::send(permit, connected.sender, request);
@@ -169,7 +169,7 @@
             return AttemptEnd::Restarted;
         };
         match sent {
-            Sent::Answer(response, sender) => {
+            SendResult::Answer(response, sender) => {
                 let id = id.as_ref();
                 return match check_answer(&entry, &service, target, &response, id) {
                     Ok(facts) => {
@@ -180,8 +180,8 @@
                     Err(end) => end,
                 };
             }
-            Sent::Unsent(unsent) => request = *unsent,
-            Sent::Broken(error) => {
+            SendResult::Unsent(unsent) => request = *unsent,
+            SendResult::Broken(error) => {
                 log::debug!(target: "proxy", "Sending a request to {address} failed: {error}.");
                 return AttemptEnd::Broken;
             }
@@ -207,7 +207,7 @@
     }
     // The target's directives apply even if the answer belongs to another request or is rejected below.
     let orders = entry.dialect.read_orders(status, headers);
-    entry.hear_orders(service, target, &orders, OrderSource::Answer);
+    entry.apply_orders(service, target, &orders, OrderSource::Answer);
     if !entry.dialect.is_answer_to(headers, id, &service.config) {
         entry.counters.add(Count::AttemptCrossed);
         // The load report describes the target, whichever request the answer belongs to.
--- a/crates/pinhaven-entry/src/request/dispatch.rs
+++ b/crates/pinhaven-entry/src/request/dispatch.rs
@@ -13,7 +13,7 @@
 use crate::request::attempt::prepare_request;
 use crate::request::attempt::run_attempt;
 use crate::request::record_context::RecordContext;
-use crate::targets::pool::ReturnSender;
+use crate::targets::pool::PooledSender;
 use crate::watch::counters::Count;
 use crate::watch::latencies::Outcome;
 use crate::wire::header;
@@ -424,7 +424,7 @@
         let guard = AnswerGuard {
             entry: Arc::clone(&self.job.entry),
             capacity_freed: Arc::clone(&self.job.service.capacity_freed),
-            sender: ReturnSender::new(pool.cloned().unwrap_or_default(), answer.sender),
+            sender: PooledSender::new(pool.cloned().unwrap_or_default(), answer.sender),
             attempt: Some(attempt),
             record_context: RecordContext::new(self.job),
             _request_guard: std::mem::take(&mut self.request_guard),
--- a/crates/pinhaven-entry/src/start.rs
+++ b/crates/pinhaven-entry/src/start.rs
@@ -160,7 +160,7 @@
 fn spawn_bundle_tasks(entry: &Arc<Entry>) {
     spawn(Arc::clone(entry).follow_bundles()).detach();
     spawn(Arc::clone(entry).gossip()).detach();
-    spawn(Arc::clone(entry).keep_seat()).detach();
+    spawn(Arc::clone(entry).maintain_seat()).detach();
     spawn(Arc::clone(entry).probe()).detach();
     spawn(Arc::clone(entry).advance_epochs()).detach();
     spawn(Arc::clone(entry).write_start_rows()).detach();
@@ -179,7 +179,7 @@
 ) -> Result<(), EntryError> {
     let socket = datagram_sender::listen(datagram_address)?;
     spawn(Arc::clone(entry).follow_configuration()).detach();
-    spawn(Arc::clone(entry).keep_target_list()).detach();
+    spawn(Arc::clone(entry).maintain_target_list()).detach();
     spawn(Arc::clone(entry).maintain_membership()).detach();
     spawn(Arc::clone(entry).receive_datagrams(Arc::clone(&socket))).detach();
     spawn(Arc::clone(entry).send_datagrams(Arc::clone(&socket))).detach();
--- a/crates/pinhaven-entry/src/targets/leaving_news.rs
+++ b/crates/pinhaven-entry/src/targets/leaving_targets.rs
@@ -1,4 +1,4 @@
-//! Targets known to be leaving.
+//! Targets that are leaving in the version in force, to be sent to peers.
 
 use crate::versions::snapshot::Snapshot;
 use pinhaven_peer::Leaving;
@@ -8,31 +8,31 @@
 use pinhaven_types::TargetAddress;
 use std::collections::BTreeMap;
 
-/// How long news is passed on.
-const PASS_ON_FOR: Microseconds = Microseconds::from_ms(10_000);
+/// How long a leaving run is sent to peers.
+const ADVERTISE_FOR: Microseconds = Microseconds::from_ms(10_000);
 
 /// A run of a target that is leaving.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct LeavingTarget {
+struct LeavingRun {
     service: ServiceName,
     address: TargetAddress,
-    /// Tells it from another target or a later run at the address.
+    /// Distinguishes the run from another target or a later run at the same address.
     key: Option<u32>,
 }
 
-/// Targets known to be leaving in one version, and since when.
+/// Leaving runs of targets in one version, with the time since which each is known to be leaving.
 ///
-/// News belongs to a version: a target that left in one may be put back by the next, and must not be
-/// taken out again by what was still gathered from the one before.
+/// The runs belong to one version: the next version may reinstate a target, and the reinstated target must not be
+/// marked as leaving again because of the previous version.
 #[derive(Default)]
-pub(crate) struct LeavingNews {
+pub(crate) struct LeavingTargets {
     version: BundleVersion,
-    since: BTreeMap<LeavingTarget, Microseconds>,
+    since: BTreeMap<LeavingRun, Microseconds>,
 }
 
-impl LeavingNews {
-    /// Takes in all targets that are marked as leaving. Returns whether any was new.
-    pub(crate) fn gather(&mut self, snapshot: &Snapshot, now: Microseconds) -> bool {
+impl LeavingTargets {
+    /// Records all targets of `snapshot` that are marked as leaving. Returns whether any of them is new.
+    pub(crate) fn collect(&mut self, snapshot: &Snapshot, now: Microseconds) -> bool {
         if snapshot.version < self.version {
             return false;
         }
@@ -44,7 +44,7 @@
         for (name, service) in &snapshot.services {
             for target in service.state.targets() {
                 if target.is_leaving() {
-                    let leaving = LeavingTarget {
+                    let leaving = LeavingRun {
                         service: name.clone(),
                         address: target.address(),
                         key: target.key(),
@@ -56,11 +56,11 @@
         self.since.len() > known
     }
 
-    /// News that is still worth passing on.
-    pub(crate) fn fresh(&self, now: Microseconds) -> Vec<Leaving> {
+    /// The leaving runs that are still to be sent to peers.
+    pub(crate) fn recent(&self, now: Microseconds) -> Vec<Leaving> {
         self.since
             .iter()
-            .filter(|(_, since)| now.saturating_sub(**since) < PASS_ON_FOR)
+            .filter(|(_, since)| now.saturating_sub(**since) < ADVERTISE_FOR)
             .map(|(leaving, _)| Leaving {
                 service: leaving.service.to_string(),
                 target: leaving.address.to_string(),
--- a/crates/pinhaven-entry/src/targets/mod.rs
+++ b/crates/pinhaven-entry/src/targets/mod.rs
@@ -1,17 +1,18 @@
-//! What this entry knows and keeps of targets.
+//! State of the targets and connections to them.
 //!
-//! Lists from the store or peers, answers to probes and news of leaving targets come in; the state that `request` decides
-//! by, and open connections, go out. Run as tasks by `start`.
+//! Input is the list of targets from the store or from peers, answers to probes, directives in targets' answers and
+//! peers' updates on leaving targets. Output is the target state on which `request` bases its decisions, and open
+//! connections. The periodic tasks are started by `start`.
 
 pub(crate) mod added_attempts;
-pub(crate) mod heard_leaves;
 pub(crate) mod leaving;
-pub(crate) mod leaving_news;
+pub(crate) mod leaving_targets;
 pub(crate) mod listed_targets;
 pub(crate) mod orders;
 pub(crate) mod owned_targets;
 pub(crate) mod pool;
 pub(crate) mod probes;
+pub(crate) mod reported_leaves;
 pub(crate) mod restarts;
 pub(crate) mod seats;
 pub(crate) mod speed_probes;
--- a/crates/pinhaven-entry/src/targets/probes.rs
+++ b/crates/pinhaven-entry/src/targets/probes.rs
@@ -1,7 +1,7 @@
-//! Probing the targets of this entry's seat, within the budget.
+//! Probes of the targets that belong to this entry's seat, within the probe budget.
 //!
-//! Probes find what replies can't: that an idle target has begun to drain, or to answer again. They
-//! are sent one after another, each after the seat and the budget were asked.
+//! Probes detect what answers to requests don't show: that an idle target has begun to drain, or answers again.
+//! Probes are sent one after another, and the seat and the budget are checked before each of them.
 
 use crate::entry::Entry;
 use crate::targets::orders::OrderSource;
@@ -20,30 +20,30 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How often an entry without a seat looks whether it has one, in milliseconds.
-const SEAT_LOOK_MS: u64 = 500;
-/// The shortest and the longest pause between two looks for due probes, in milliseconds.
+/// Interval at which an entry without a seat checks whether it has acquired one, in milliseconds.
+const SEAT_POLL_MS: u64 = 500;
+/// Minimum and maximum time between two checks for due probes, in milliseconds.
 const PAUSE_MS: std::ops::RangeInclusive<u64> = 5..=500;
-/// How long a target may take to answer a probe, in milliseconds.
+/// Timeout for a target's answer to a probe, in milliseconds.
 const PROBE_TIMEOUT_MS: u64 = 1_000;
 
-type Probed = BTreeMap<(ServiceName, TargetAddress), ProbedTarget>;
+type ProbedTargets = BTreeMap<(ServiceName, TargetAddress), ProbedTarget>;
 
-/// A target of the seat, with its budget and the connection that its probes use.
+/// Probe budget of a target of the seat, and the client that sends its probes.
 struct ProbedTarget {
     budget: ProbeBudget,
     client: HttpClient,
 }
 
-/// The budgets of the targets of one seat in one version.
-struct Round {
+/// Budgets of the targets of one seat in one version.
+struct ProbeRound {
     version: BundleVersion,
     seat: u32,
-    targets: Probed,
+    targets: ProbedTargets,
 }
 
-impl Round {
-    /// The time until the next probe is due, in milliseconds.
+impl ProbeRound {
+    /// Time until the next probe is due, in milliseconds, within the limits of [`PAUSE_MS`].
     fn pause_ms(&self, now: Microseconds) -> u64 {
         let dues = self.targets.values().filter_map(|t| t.budget.next_at());
         let next_at = dues
@@ -55,14 +55,14 @@
 }
 
 impl Entry {
-    /// Sends probes for ever.
+    /// Probes the targets of this entry's seat. Runs until the process exits.
     pub(crate) async fn probe(self: Arc<Self>) {
-        let mut round: Option<Round> = None;
+        let mut round: Option<ProbeRound> = None;
         loop {
             let seat = self.seats.lock().seat(self.now());
             let Some(seat) = seat else {
                 round = None;
-                sleep_ms(SEAT_LOOK_MS).await;
+                sleep_ms(SEAT_POLL_MS).await;
                 continue;
             };
             let snapshot = self.snapshot.load_full();
@@ -70,8 +70,8 @@
                 .as_ref()
                 .is_some_and(|round| round.version == snapshot.version && round.seat == seat);
             if !is_current {
-                let kept = round.take().filter(|round| round.seat == seat);
-                round = Some(self.begin_round(seat, kept));
+                let previous = round.take().filter(|round| round.seat == seat);
+                round = Some(self.begin_round(seat, previous));
             }
             let Some(round) = &mut round else {
                 continue;
@@ -85,14 +85,14 @@
         }
     }
 
-    /// The budgets for a new version or seat. What a target's budget has spent is kept, unless the
-    /// service changed: then it begins anew with a pause, as after a change of holders.
-    fn begin_round(&self, seat: u32, kept: Option<Round>) -> Round {
+    /// Creates the budgets for a new version or seat. The budget of a target that was probed before is retained,
+    /// unless its plan has changed: then a new budget begins with a wait, as after a change of the seat's holder.
+    fn begin_round(&self, seat: u32, previous: Option<ProbeRound>) -> ProbeRound {
         let snapshot = self.snapshot.load();
         let measuring = &snapshot.bundle().measuring;
         let now = self.now();
-        let mut kept = kept.map(|round| round.targets).unwrap_or_default();
-        let mut targets = Probed::new();
+        let mut previous = previous.map(|round| round.targets).unwrap_or_default();
+        let mut targets = ProbedTargets::new();
         for (name, service) in &snapshot.services {
             if service.config.probe_path.is_none() {
                 continue;
@@ -103,8 +103,8 @@
                 }
                 let key = (name.clone(), target.address);
                 let budget = ProbeBudget::new(measuring, &service.config, now);
-                let probed = match kept.remove(&key) {
-                    Some(kept) if kept.budget.is_same_plan(&budget) => kept,
+                let probed = match previous.remove(&key) {
+                    Some(previous) if previous.budget.is_same_plan(&budget) => previous,
                     _ => ProbedTarget {
                         budget,
                         client: HttpClient::new(target.address.socket_address(), PROBE_TIMEOUT_MS),
@@ -113,7 +113,7 @@
                 targets.insert(key, probed);
             }
         }
-        Round {
+        ProbeRound {
             version: snapshot.version,
             seat,
             targets,
@@ -141,7 +141,7 @@
         if budget.next_at().is_none_or(|at| at > now) {
             return;
         }
-        // The seat is asked last, so that a pause before this line costs no probe.
+        // The seat is checked last: if this task was paused and the seat expired meanwhile, no probe is sent.
         let holds_seat = self.seats.lock().seat(self.now()) == Some(seat);
         if !holds_seat || !budget.take(now) {
             return;
@@ -156,9 +156,9 @@
         let Ok(answer) = answer else {
             return self.counters.add(Count::ProbeFailed);
         };
-        // What a target asks for holds whichever way it is asked.
+        // Orders in answers to probes apply in the same way as orders in answers to requests.
         let orders = self.dialect.read_orders(answer.status(), answer.headers());
-        self.hear_orders(service, state, &orders, OrderSource::Probe);
+        self.apply_orders(service, state, &orders, OrderSource::Probe);
         match load_report::from_json(answer.body()) {
             Some(report) => service.state.record_report(state, answered_at, &report),
             None => self.counters.add(Count::ProbeFailed),
--- a/crates/pinhaven-entry/src/targets/speed_probes.rs
+++ b/crates/pinhaven-entry/src/targets/speed_probes.rs
@@ -1,7 +1,7 @@
-//! Asking targets how fast they are, when their answers don't say it often enough.
+//! Probes of targets' speed, for targets whose answers to requests don't report it often enough.
 //!
-//! Each target is asked by its owner. While entries disagree on who serves, several may ask; so each
-//! entry keeps to an equal part of what all together may send.
+//! The owner of a target probes it. While entries disagree on which entries serve, several entries may probe the
+//! same target, so each entry limits its probes to an equal part of what all entries together may send.
 
 use crate::entry::Entry;
 use crate::targets::orders::OrderSource;
@@ -19,25 +19,25 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
-/// Time between two looks for targets that are due, in milliseconds.
+/// Interval between two checks for targets that are due, in milliseconds.
 const TICK_MS: u64 = 15;
-/// The same for an entry that asks none, in milliseconds.
+/// Interval between two checks at an entry that owns no target, in milliseconds.
 const IDLE_TICK_MS: u64 = 200;
-/// How long a target may take to answer, in milliseconds.
+/// Timeout for a target's answer to a probe, in milliseconds.
 const TIMEOUT_MS: u64 = 400;
 
-/// A target that this entry asks.
-struct Probed {
+/// Probe state of a target that this entry owns.
+struct ProbedTarget {
     pace: ProbePace,
     client: Arc<HttpClient>,
     is_under_way: Arc<AtomicBool>,
 }
 
 impl Entry {
-    /// Sends probes, for ever.
+    /// Probes the speed of the owned targets. Runs until the process exits.
     pub(crate) async fn probe_speeds(self: Arc<Self>) {
         let mut owned = OwnedTargets::default();
-        let mut probed: HashMap<u32, Probed> = HashMap::new();
+        let mut probed: HashMap<u32, ProbedTarget> = HashMap::new();
         loop {
             let snapshot = self.snapshot.load_full();
             owned.refresh(&self, &snapshot);
@@ -60,7 +60,7 @@
         self: &Arc<Self>,
         key: u32,
         keyed: &KeyedTarget,
-        probed: &mut HashMap<u32, Probed>,
+        probed: &mut HashMap<u32, ProbedTarget>,
     ) {
         let now = self.now();
         let target = &keyed.target;
@@ -70,17 +70,17 @@
         let age = target
             .reported_speed()
             .map(|(_, at)| now.saturating_sub(at));
-        let wanted = keyed.service.state.desired_report_age();
+        let desired_age = keyed.service.state.desired_report_age();
         let Ok(permit) = target.send_permit(now) else {
             return;
         };
-        if age.is_some_and(|age| age < wanted) {
+        if age.is_some_and(|age| age < desired_age) {
             return;
         }
-        let most = self.settings.discovery.as_ref();
-        let most = most.map_or(0, |discovery| discovery.probes_per_second_most);
-        let probed = probed.entry(key).or_insert_with(|| Probed {
-            pace: ProbePace::new(most),
+        let per_second_max = self.settings.discovery.as_ref();
+        let per_second_max = per_second_max.map_or(0, |discovery| discovery.probes_per_second_most);
+        let probed = probed.entry(key).or_insert_with(|| ProbedTarget {
+            pace: ProbePace::new(per_second_max),
             client: Arc::new(
                 HttpClient::new(target.address().socket_address(), TIMEOUT_MS)
                     .with_idle_connections(1),
@@ -117,13 +117,13 @@
             Ok(answer) => answer,
             Err(error) => {
                 self.counters.add(Count::ProbeFailed);
-                log::debug!(target: "probe", "{error}.");
+                log::debug!(target: "probe", "Probing the speed of a target failed: {error}.");
                 return;
             }
         };
         let answered_by = self.dialect.probed_target(answer.headers());
         if answered_by.is_some() && answered_by.as_ref() != target.id() {
-            log::info!(target: "probe", "Another target has the address of {}.", target.address());
+            log::info!(target: "probe", "Another target answered at the address {}.", target.address());
             target.mark_leaving();
             return;
         }
@@ -131,12 +131,12 @@
         if let (Some(answering), Some(known)) = (answering, target.incarnation())
             && answering != known
         {
-            // The report is of another run; a later one is asked again.
-            self.hear_run(target, answering);
+            // The report is from another run and is not used. A later run is recorded and probed again.
+            self.learn_run(target, answering);
             return;
         }
         let orders = self.dialect.read_orders(answer.status(), answer.headers());
-        self.hear_orders(service, target, &orders, OrderSource::Probe);
+        self.apply_orders(service, target, &orders, OrderSource::Probe);
         match self.dialect.read_probe(answer.headers(), answer.body()) {
             Some(report) => service.state.record_report(target, self.now(), &report),
             None => self.counters.add(Count::ProbeFailed),
