--- a/crates/pinhaven-entry/src/watch/metrics_text.rs
+++ b/crates/pinhaven-entry/src/watch/metrics_text.rs
@@ -117,7 +117,7 @@
     let counts = recorder.ring().counts();
     let [plain, unusual, failure] = counts.dropped;
     vec![
-        format!("pinhaven_record_lines_total {}", counts.taken),
+        format!("pinhaven_record_lines_total {}", counts.accepted),
         format!("pinhaven_record_dropped_total{{importance=\"plain\"}} {plain}"),
         format!("pinhaven_record_dropped_total{{importance=\"unusual\"}} {unusual}"),
         format!("pinhaven_record_dropped_total{{importance=\"failure\"}} {failure}"),
--- a/crates/pinhaven-record/src/behind.rs
+++ b/crates/pinhaven-record/src/behind.rs
@@ -35,14 +35,14 @@
 #[derive(Debug, Default)]
 struct EntryVersions {
     held: Option<VersionNumber>,
-    lacks: Option<Lacked>,
+    missing: Option<MissingVersion>,
     last_line_s: f64,
     has_stopped: bool,
 }
 
 /// A version that an entry told it can't get.
 #[derive(Debug)]
-struct Lacked {
+struct MissingVersion {
     version: VersionNumber,
     since_s: f64,
     failed_tries: u64,
@@ -58,19 +58,19 @@
         if instance.is_empty() {
             continue;
         }
-        entries.entry(instance).or_default().take(line);
+        entries.entry(instance).or_default().record_line(line);
         if is_event(line, "bundle", "in_force")
             && let Some(version) = version_of(line)
         {
             first_in_force_s.entry(version).or_insert(line.time_s);
         }
     }
-    let in_force = |(instance, entry)| behind(instance, entry, &first_in_force_s);
-    entries.into_iter().filter_map(in_force).collect()
+    let to_entry_behind = |(instance, entry)| entry_behind(instance, entry, &first_in_force_s);
+    entries.into_iter().filter_map(to_entry_behind).collect()
 }
 
 impl EntryVersions {
-    fn take(&mut self, line: &ReadLine) {
+    fn record_line(&mut self, line: &ReadLine) {
         self.last_line_s = line.time_s;
         match (line.part.as_str(), line.event.as_str()) {
             ("entry", "started") => {
@@ -80,31 +80,31 @@
                 };
             }
             ("entry", "stopping" | "stopped") => self.has_stopped = true,
-            ("bundle", "in_force") => self.put_in_force(line),
-            ("bundle", "behind") => self.lack(line),
+            ("bundle", "in_force") => self.record_in_force(line),
+            ("bundle", "behind") => self.record_missing(line),
             _ => {}
         }
     }
 
-    fn put_in_force(&mut self, line: &ReadLine) {
+    fn record_in_force(&mut self, line: &ReadLine) {
         let Some(version) = version_of(line) else {
             return;
         };
         self.held = self.held.max(Some(version));
-        let Some(lacked) = &mut self.lacks else {
+        let Some(missing) = &mut self.missing else {
             return;
         };
-        if lacked.version <= version {
-            self.lacks = None;
+        if missing.version <= version {
+            self.missing = None;
             return;
         }
         // The entry counts anew from here, too.
-        lacked.since_s = line.time_s;
-        lacked.failed_tries = 0;
-        lacked.why.clear();
+        missing.since_s = line.time_s;
+        missing.failed_tries = 0;
+        missing.why.clear();
     }
 
-    fn lack(&mut self, line: &ReadLine) {
+    fn record_missing(&mut self, line: &ReadLine) {
         let Some(version) = version_of(line) else {
             return;
         };
@@ -112,7 +112,7 @@
             return;
         }
         let behind_s = number_of(line, "behind_ms") / 1_000.0;
-        self.lacks = Some(Lacked {
+        self.missing = Some(MissingVersion {
             version,
             since_s: line.time_s - behind_s,
             failed_tries: number_of(line, "tries") as u64,
@@ -121,7 +121,7 @@
     }
 }
 
-fn behind(
+fn entry_behind(
     instance: String,
     entry: EntryVersions,
     first_in_force_s: &BTreeMap<VersionNumber, f64>,
@@ -130,13 +130,13 @@
         .iter()
         .find(|(version, _)| Some(**version) > entry.held);
     let newer_since_s = newer.map(|(_, since_s)| *since_s);
-    let lacked_since_s = entry.lacks.as_ref().map(|lacked| lacked.since_s);
-    let since_s = lacked_since_s.or(newer_since_s)?;
+    let missing_since_s = entry.missing.as_ref().map(|missing| missing.since_s);
+    let since_s = missing_since_s.or(newer_since_s)?;
     if entry.has_stopped {
         return None;
     }
-    let known = entry.lacks.as_ref().map(|lacked| lacked.version);
-    let failed_tries = entry.lacks.as_ref().map(|lacked| lacked.failed_tries);
+    let known = entry.missing.as_ref().map(|missing| missing.version);
+    let failed_tries = entry.missing.as_ref().map(|missing| missing.failed_tries);
     Some(EntryBehind {
         instance,
         held: entry.held,
@@ -145,7 +145,7 @@
         since_s,
         last_line_s: entry.last_line_s,
         failed_tries: failed_tries.unwrap_or_default(),
-        why: entry.lacks.map(|lacked| lacked.why).unwrap_or_default(),
+        why: entry.missing.map(|missing| missing.why).unwrap_or_default(),
     })
 }
 
--- a/crates/pinhaven-record/src/read.rs
+++ b/crates/pinhaven-record/src/read.rs
@@ -30,26 +30,26 @@
 /// The lines of a text, and how many of its lines could not be read. What stands before the first
 /// brace of a line, such as a time that a collector added, is passed over.
 pub fn read_lines(text: &str) -> (Vec<ReadLine>, usize) {
-    let mut bad = 0;
+    let mut invalid = 0;
     let mut lines = Vec::new();
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
         match read_line(line) {
-            Some(read) => lines.push(read),
-            None => bad += 1,
+            Some(parsed) => lines.push(parsed),
+            None => invalid += 1,
         }
     }
-    (lines, bad)
+    (lines, invalid)
 }
 
 fn read_line(line: &str) -> Option<ReadLine> {
     let object = &line[line.find('{')?..];
     let mut facts: Map<String, Value> = serde_json::from_str(object).ok()?;
     let time_s = facts.remove("time_s")?.as_f64()?;
-    let mut take = |name: &str| match facts.remove(name) {
+    let mut remove_text = |name: &str| match facts.remove(name) {
         Some(Value::String(text)) => text,
         _ => String::new(),
     };
-    let (part, event) = (take("part"), take("event"));
+    let (part, event) = (remove_text("part"), remove_text("event"));
     Some(ReadLine {
         time_s,
         part,
--- a/crates/pinhaven-record/src/recorder.rs
+++ b/crates/pinhaven-record/src/recorder.rs
@@ -52,12 +52,13 @@
         if trace.is_empty() || (importance == Importance::Plain && !self.is_sampled(id)) {
             return;
         }
-        let mut head = vec![
+        let mut common_facts = vec![
             ("id", id.to_owned()),
             ("instance", self.instance.to_string()),
         ];
-        head.extend_from_slice(facts);
-        self.ring.add(importance, trace.into_lines(now_us, &head));
+        common_facts.extend_from_slice(facts);
+        self.ring
+            .add(importance, trace.into_lines(now_us, &common_facts));
     }
 
     fn is_sampled(&self, id: &str) -> bool {
--- a/crates/pinhaven-record/src/ring.rs
+++ b/crates/pinhaven-record/src/ring.rs
@@ -25,7 +25,7 @@
     const ALL: [Self; 3] = [Self::Plain, Self::Unusual, Self::Failure];
 
     /// Share of the ring up to which such lines are taken.
-    fn room_share(self) -> f64 {
+    fn capacity_share(self) -> f64 {
         match self {
             Self::Plain => 0.5,
             Self::Unusual => 0.75,
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RingCounts {
     /// Lines taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// Lines dropped, by importance.
     pub dropped: [u64; 3],
 }
@@ -51,7 +51,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Held {
+struct RingState {
     lines: VecDeque<String>,
     bytes: usize,
     counts: RingCounts,
@@ -61,17 +61,17 @@
 /// A ring of lines.
 #[derive(Debug)]
 pub struct Ring {
-    bytes_most: usize,
-    held: Mutex<Held>,
+    bytes_max: usize,
+    state: Mutex<RingState>,
     has_lines: Condvar,
 }
 
 impl Ring {
-    /// A ring that holds up to `bytes_most`.
-    pub fn new(bytes_most: usize) -> Self {
+    /// A ring that holds up to `bytes_max`.
+    pub fn new(bytes_max: usize) -> Self {
         Self {
-            bytes_most,
-            held: Mutex::new(Held::default()),
+            bytes_max,
+            state: Mutex::new(RingState::default()),
             has_lines: Condvar::new(),
         }
     }
@@ -79,19 +79,19 @@
     /// Adds lines that belong together, all or none. Returns whether they were taken.
     pub fn add(&self, importance: Importance, lines: Vec<String>) -> bool {
         let bytes: usize = lines.iter().map(String::len).sum();
-        let room = (self.bytes_most as f64 * importance.room_share()) as usize;
-        let mut held = self.lock();
-        if held.bytes + bytes > room || held.is_closed {
+        let capacity = (self.bytes_max as f64 * importance.capacity_share()) as usize;
+        let mut state = self.lock();
+        if state.bytes + bytes > capacity || state.is_closed {
             let index = Importance::ALL
                 .iter()
                 .position(|other| *other == importance);
-            held.counts.dropped[index.unwrap_or(0)] += lines.len() as u64;
+            state.counts.dropped[index.unwrap_or(0)] += lines.len() as u64;
             return false;
         }
-        held.bytes += bytes;
-        held.counts.taken += lines.len() as u64;
-        held.lines.extend(lines);
-        drop(held);
+        state.bytes += bytes;
+        state.counts.accepted += lines.len() as u64;
+        state.lines.extend(lines);
+        drop(state);
         self.has_lines.notify_one();
         true
     }
@@ -101,28 +101,28 @@
         self.lock().counts
     }
 
-    /// Takes no more lines; those that are held can still be taken out.
+    /// Takes no more lines; lines in the ring can still be taken out.
     pub fn close(&self) {
         self.lock().is_closed = true;
         self.has_lines.notify_all();
     }
 
-    /// Takes out all that is held, waiting for some for at most `wait`. `None` once the ring is closed
+    /// Takes all lines out, waiting for some for at most `wait`. `None` once the ring is closed
     /// and empty.
     pub fn take(&self, wait: Duration) -> Option<String> {
-        let mut held = self.lock();
-        if held.lines.is_empty() && !held.is_closed {
-            let waited = self.has_lines.wait_timeout(held, wait);
-            held = waited.unwrap_or_else(PoisonError::into_inner).0;
+        let mut state = self.lock();
+        if state.lines.is_empty() && !state.is_closed {
+            let wait_result = self.has_lines.wait_timeout(state, wait);
+            state = wait_result.unwrap_or_else(PoisonError::into_inner).0;
         }
-        if held.lines.is_empty() && held.is_closed {
+        if state.lines.is_empty() && state.is_closed {
             return None;
         }
-        held.bytes = 0;
-        Some(held.lines.drain(..).collect())
+        state.bytes = 0;
+        Some(state.lines.drain(..).collect())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, RingState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/pinhaven-record/src/timeline.rs
+++ b/crates/pinhaven-record/src/timeline.rs
@@ -31,16 +31,16 @@
         let Some(first) = lines.first() else {
             return timeline;
         };
-        let mut started: HashMap<(String, String), f64> = HashMap::new();
+        let mut sent_at_s: HashMap<(String, String), f64> = HashMap::new();
         for line in lines {
             let at_s = line.time_s - first.time_s;
             let key = (line.text("instance"), line.text("id"));
             match (line.part.as_str(), line.event.as_str()) {
                 ("request", "sent") => {
-                    started.entry(key).or_insert(at_s);
+                    sent_at_s.entry(key).or_insert(at_s);
                 }
                 ("request", "delivered") => {
-                    if let Some(start_s) = started.remove(&key) {
+                    if let Some(start_s) = sent_at_s.remove(&key) {
                         timeline.add_answer(at_s, (at_s - start_s) * 1_000.0);
                     }
                 }
@@ -62,9 +62,9 @@
         timeline
     }
 
-    fn add_answer(&mut self, at_s: f64, took_ms: f64) {
+    fn add_answer(&mut self, at_s: f64, duration_ms: f64) {
         let slowest_ms = self.slowest_ms.entry(at_s as u64).or_default();
-        *slowest_ms = slowest_ms.max(took_ms);
+        *slowest_ms = slowest_ms.max(duration_ms);
     }
 
     fn add_refusal(&mut self, at_s: f64, reason: String) {
--- a/crates/pinhaven-record/src/trace.rs
+++ b/crates/pinhaven-record/src/trace.rs
@@ -114,8 +114,8 @@
         self.events.is_empty()
     }
 
-    /// How important the trace is, for a request that took `took_us` and should have taken `aim_us`.
-    pub fn importance(&self, took_us: u64, aim_us: Option<u64>) -> Importance {
+    /// How important the trace is, for a request that took `duration_us` and should have taken `aim_us`.
+    pub fn importance(&self, duration_us: u64, aim_us: Option<u64>) -> Importance {
         let has_failed = self.events.iter().any(|(_, event)| match event {
             TraceEvent::Refused { .. } | TraceEvent::CallerLeft | TraceEvent::AnswerCut { .. } => {
                 true
@@ -123,11 +123,11 @@
             TraceEvent::Delivered { status, .. } => *status >= 400,
             _ => false,
         });
-        let sent = |(_, event): &&(u64, TraceEvent)| matches!(event, TraceEvent::Sent { .. });
+        let is_sent = |(_, event): &&(u64, TraceEvent)| matches!(event, TraceEvent::Sent { .. });
         if has_failed {
             Importance::Failure
-        } else if self.events.iter().filter(sent).count() > 1
-            || aim_us.is_some_and(|aim_us| took_us > aim_us)
+        } else if self.events.iter().filter(is_sent).count() > 1
+            || aim_us.is_some_and(|aim_us| duration_us > aim_us)
         {
             Importance::Unusual
         } else {
@@ -137,20 +137,20 @@
 
     /// The lines of the trace, told at `now_us`. Each carries what `head` says: the request's id, its
     /// route and the version in force.
-    pub fn into_lines(self, now_us: u64, head: &[(&str, String)]) -> Vec<String> {
-        let text_of = |(at_us, event): (u64, TraceEvent)| {
+    pub fn into_lines(self, now_us: u64, common_facts: &[(&str, String)]) -> Vec<String> {
+        let to_text = |(at_us, event): (u64, TraceEvent)| {
             let ago_us = now_us.saturating_sub(at_us);
-            let mut line = Line::new(PART, name(&event), ago_us);
-            for (field, value) in head {
+            let mut line = Line::new(PART, event_name(&event), ago_us);
+            for (field, value) in common_facts {
                 line = line.with(field, value.as_str());
             }
-            facts(line, event).into_text()
+            add_event_facts(line, event).into_text()
         };
-        self.events.into_iter().map(text_of).collect()
+        self.events.into_iter().map(to_text).collect()
     }
 }
 
-fn name(event: &TraceEvent) -> &'static str {
+fn event_name(event: &TraceEvent) -> &'static str {
     match event {
         TraceEvent::Sent { .. } => "sent",
         TraceEvent::Ended { .. } => "ended",
@@ -162,9 +162,11 @@
     }
 }
 
-fn facts(line: Line, event: TraceEvent) -> Line {
+fn add_event_facts(line: Line, event: TraceEvent) -> Line {
     match event {
-        TraceEvent::Sent { attempt, chosen } => sent_facts(line.with("attempt", attempt), &chosen),
+        TraceEvent::Sent { attempt, chosen } => {
+            add_chosen_facts(line.with("attempt", attempt), &chosen)
+        }
         TraceEvent::Ended {
             attempt,
             outcome,
@@ -183,7 +185,7 @@
             waiting,
             held_ms,
             targets,
-        } => target_facts(
+        } => add_target_counts(
             line.with("reason", reason)
                 .with("run", run)
                 .with("status", status)
@@ -204,7 +206,7 @@
     }
 }
 
-fn sent_facts(line: Line, chosen: &Chosen) -> Line {
+fn add_chosen_facts(line: Line, chosen: &Chosen) -> Line {
     let line = line
         .with("target", chosen.target.as_str())
         .with_number("forecast_ms", f64::from(chosen.forecast_ms))
@@ -216,7 +218,7 @@
     }
 }
 
-fn target_facts(line: Line, targets: Option<TargetCounts>) -> Line {
+fn add_target_counts(line: Line, targets: Option<TargetCounts>) -> Line {
     let Some(targets) = targets else {
         return line;
     };
--- a/crates/pinhaven-record/src/writer.rs
+++ b/crates/pinhaven-record/src/writer.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 /// How long the writer waits for lines before it looks whether some were dropped.
-const WAIT: Duration = Duration::from_secs(5);
+const WAIT_MAX: Duration = Duration::from_secs(5);
 
 /// Writes the lines of a ring until it is closed and empty, or the output takes no more. It may stand
 /// still for as long as the output does; only the thread that runs it waits.
 pub fn write_lines(ring: &Ring, mut output: impl Write) {
-    let mut told = 0;
-    while let Some(text) = ring.take(WAIT) {
+    let mut reported_dropped = 0;
+    while let Some(text) = ring.take(WAIT_MAX) {
         let is_written = output
             .write_all(text.as_bytes())
             .and_then(|()| output.flush())
@@ -23,8 +23,8 @@
             return;
         }
         let counts = ring.counts();
-        if counts.all_dropped() > told {
-            told = counts.all_dropped();
+        if counts.all_dropped() > reported_dropped {
+            reported_dropped = counts.all_dropped();
             let [plain, unusual, failure] = counts.dropped;
             let line = Line::new("record", "dropped", 0)
                 .with("plain", plain)
--- a/crates/pinhaven-record/tests/record.rs
+++ b/crates/pinhaven-record/tests/record.rs
@@ -66,7 +66,7 @@
     let ring = Ring::new(1_000);
     let trace = vec!["a".repeat(400), "b".repeat(400)];
     assert!(!ring.add(Importance::Plain, trace));
-    assert_eq!(ring.counts().taken, 0);
+    assert_eq!(ring.counts().accepted, 0);
     assert_eq!(ring.counts().dropped, [2, 0, 0]);
 }
 
@@ -118,12 +118,12 @@
 #[test]
 fn failures_are_more_important_than_retries_and_those_more_than_plain_answers() {
     let delivered = |status| TraceEvent::Delivered { attempt: 0, status };
-    let importance = |events: &[TraceEvent], took_us| {
+    let importance = |events: &[TraceEvent], duration_us| {
         let mut trace = Trace::default();
         for event in events {
             trace.add(0, event.clone());
         }
-        trace.importance(took_us, Some(200_000))
+        trace.importance(duration_us, Some(200_000))
     };
     assert_eq!(importance(&[sent(0), delivered(200)], 1), Importance::Plain);
     assert_eq!(
