--- a/crates/pinhaven-record/src/behind.rs
+++ b/crates/pinhaven-record/src/behind.rs
@@ -1,37 +1,38 @@
-//! Entries that are behind at the end of their records: another version is in force elsewhere, or they know of
-//! one themselves, and they serve by an older one.
+//! Finds entries that serve by an older configuration version at the end of their records.
 //!
-//! An entry that knows of a version it can't get tells so itself. One that never heard of it tells nothing; it is
-//! found by what the others hold.
+//! The input is record lines of several entries, ordered by time. An entry that knows a newer version and can't fetch
+//! it records `bundle behind` lines. An entry that never learned of the newer version records nothing about it, so it
+//! is found by comparison with the versions in force at the other entries.
 
 use crate::read::ReadLine;
 use std::collections::BTreeMap;
 
-/// Number of a version, as records name it.
+/// Version number as written in records.
 type VersionNumber = u64;
 
-/// An entry that is behind.
+/// An entry that serves by an older version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EntryBehind {
-    /// The entry.
+    /// Instance id of the entry.
     pub instance: String,
-    /// The version in force there; `None` when its records name none.
+    /// Version in force at the entry; `None` if its records name none.
     pub held: Option<VersionNumber>,
-    /// The newest version that it knows of; `None` when it tells of none that it lacks.
+    /// Newest version that the entry knows of and lacks; `None` if it reported none.
     pub known: Option<VersionNumber>,
-    /// The newest version in force at any entry.
+    /// Newest version in force at any entry.
     pub newest: Option<VersionNumber>,
-    /// When it learned of the version that it lacks, or when another entry had it, in seconds since the epoch.
+    /// When the entry learned of the missing version, or else when a newer version was first in force at another entry,
+    /// in seconds since the epoch.
     pub since_s: f64,
-    /// When its last line was recorded, in seconds since the epoch.
+    /// Time of the entry's last line, in seconds since the epoch.
     pub last_line_s: f64,
-    /// Tries that failed since it last put a version in force, as last told.
+    /// Failed fetches since the entry last put a version in force, as last reported.
     pub failed_tries: u64,
-    /// Why the last of them failed; empty when none was told.
+    /// Reason of the last failed fetch; empty if none was reported.
     pub why: String,
 }
 
-/// What the records tell of one entry.
+/// Version state of one entry, built from its records.
 #[derive(Debug, Default)]
 struct EntryVersions {
     held: Option<VersionNumber>,
@@ -40,7 +41,7 @@
     has_stopped: bool,
 }
 
-/// A version that an entry told it can't get.
+/// A version that an entry reported as known and not fetched.
 #[derive(Debug)]
 struct MissingVersion {
     version: VersionNumber,
@@ -49,7 +50,7 @@
     why: String,
 }
 
-/// Entries that are behind at the end of lines, which stand in the order of their times.
+/// Returns the entries that are behind at the end of `lines`, which must be ordered by time.
 pub fn entries_behind(lines: &[ReadLine]) -> Vec<EntryBehind> {
     let mut entries: BTreeMap<String, EntryVersions> = BTreeMap::new();
     let mut first_in_force_s: BTreeMap<VersionNumber, f64> = BTreeMap::new();
@@ -98,7 +99,7 @@
             self.missing = None;
             return;
         }
-        // The entry counts anew from here, too.
+        // The entry itself restarts its count of failed fetches and its time behind at this event.
         missing.since_s = line.time_s;
         missing.failed_tries = 0;
         missing.why.clear();
@@ -157,7 +158,7 @@
     line.text("version").parse().ok()
 }
 
-/// A fact that is a number; 0 if it is not there.
+/// Returns a numeric fact, or 0 if the line has none.
 fn number_of(line: &ReadLine, fact: &str) -> f64 {
     line.text(fact).parse().unwrap_or_default()
 }
--- a/crates/pinhaven-record/src/lib.rs
+++ b/crates/pinhaven-record/src/lib.rs
@@ -1,10 +1,9 @@
 //! The record of decisions.
 //!
-//! Each line is a JSON object with the time, the part that speaks, the event and its facts. What
-//! happened to one request is kept as a [`Trace`] until the request is over, and then recorded whole
-//! or not at all. Lines wait in a [`Ring`] of fixed size and are written by a thread of their own:
-//! when the output does not take them, the least important are dropped and counted, and no request is
-//! ever held up.
+//! Each line is a JSON object with the time, the part of the software that writes it, the event and its facts. The
+//! events of one request are collected in a [`Trace`] until the request ends; then either all of them are recorded or
+//! none. Lines are buffered in a [`Ring`] of fixed size and written by a separate thread. When lines arrive faster than
+//! the output accepts them, the least important are dropped and counted, and no request waits for the output.
 
 mod behind;
 mod line;
--- a/crates/pinhaven-record/src/line.rs
+++ b/crates/pinhaven-record/src/line.rs
@@ -1,16 +1,16 @@
-//! One line of the record.
+//! Builder for one line of the record.
 
 use serde_json::Map;
 use serde_json::Value;
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-/// A line that is being put together.
+/// A line under construction: a JSON object with the time, the part, the event and its facts.
 #[derive(Debug, Clone)]
 pub struct Line(Map<String, Value>);
 
 impl Line {
-    /// A line of a part about an event that happened `ago_us` microseconds ago.
+    /// Creates a line of `part` for an event that happened `ago_us` microseconds ago.
     pub fn new(part: &str, event: &str, ago_us: u64) -> Self {
         let now_s = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -23,18 +23,18 @@
         Self(fields)
     }
 
-    /// The line with a fact more.
+    /// Adds a fact.
     pub fn with(mut self, name: &str, value: impl Into<Value>) -> Self {
         self.0.insert(name.to_owned(), value.into());
         self
     }
 
-    /// The line with a number more, rounded so that it can be read.
+    /// Adds a number, rounded to one decimal place.
     pub fn with_number(self, name: &str, value: f64) -> Self {
         self.with(name, rounded(value, 1))
     }
 
-    /// The text of the line, with its end.
+    /// Returns the line as JSON text with a trailing newline.
     pub fn into_text(self) -> String {
         let mut text = Value::Object(self.0).to_string();
         text.push('\n');
--- a/crates/pinhaven-record/src/read.rs
+++ b/crates/pinhaven-record/src/read.rs
@@ -1,23 +1,23 @@
-//! Reading lines of the record back.
+//! Parser for lines of the record.
 
 use serde_json::Map;
 use serde_json::Value;
 
-/// A line that was read.
+/// A parsed line of the record.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReadLine {
-    /// When it happened, in seconds since the epoch by its entry's clock.
+    /// Time of the event in seconds since the epoch, by the entry's clock.
     pub time_s: f64,
-    /// The part that speaks.
+    /// Part of the software that wrote the line.
     pub part: String,
-    /// What happened; empty for a line of plain text.
+    /// Name of the event; empty if the line has none.
     pub event: String,
-    /// All other facts.
+    /// All other facts of the line.
     pub facts: Map<String, Value>,
 }
 
 impl ReadLine {
-    /// A fact as text; empty if it is not there.
+    /// Returns a fact as text, or an empty string if the line has none.
     pub fn text(&self, name: &str) -> String {
         match self.facts.get(name) {
             None | Some(Value::Null) => String::new(),
@@ -27,8 +27,8 @@
     }
 }
 
-/// The lines of a text, and how many of its lines could not be read. What stands before the first
-/// brace of a line, such as a time that a collector added, is passed over.
+/// Parses the lines of `text`. Returns the parsed lines and the number of lines that are no records. Text before the
+/// first brace of a line, such as a timestamp added by a log collector, is ignored.
 pub fn read_lines(text: &str) -> (Vec<ReadLine>, usize) {
     let mut invalid = 0;
     let mut lines = Vec::new();
--- a/crates/pinhaven-record/src/recorder.rs
+++ b/crates/pinhaven-record/src/recorder.rs
@@ -1,4 +1,7 @@
-//! What an entry records with: a ring, and which plain requests are kept.
+//! Handle through which an entry records events and request traces.
+//!
+//! A recorder adds the entry's instance id to each line, samples requests without failures by a hash of their id, and
+//! puts the lines into the ring.
 
 use crate::line::Line;
 use crate::ring::Importance;
@@ -9,7 +12,7 @@
 use std::hash::Hasher as _;
 use std::sync::Arc;
 
-/// Records events and traces of requests.
+/// Records events and request traces of one entry.
 #[derive(Debug, Clone)]
 pub struct Recorder {
     ring: Arc<Ring>,
@@ -18,9 +21,9 @@
 }
 
 impl Recorder {
-    /// A recorder of the entry `instance`, whose name each line carries. It keeps one in
-    /// `plain_one_in` of the requests that went as they should, the same ones at every entry; 0 for
-    /// none.
+    /// Creates a recorder of the entry `instance`, whose name each line carries. The recorder keeps one in
+    /// `plain_one_in` of the requests of [`Importance::Plain`], or none if `plain_one_in` is 0. The sample depends on
+    /// the request id alone, so every entry keeps the same requests.
     pub fn new(ring: Arc<Ring>, instance: &str, plain_one_in: u64) -> Self {
         Self {
             ring,
@@ -29,18 +32,18 @@
         }
     }
 
-    /// The ring.
+    /// Returns the ring that buffers the lines.
     pub fn ring(&self) -> &Ring {
         &self.ring
     }
 
-    /// Records something that the process did or now believes.
+    /// Records an event or a state change of the process.
     pub fn record(&self, line: Line) {
         let line = line.with("instance", &*self.instance);
         self.ring.add(Importance::Failure, vec![line.into_text()]);
     }
 
-    /// Records a request that is over at `now_us`, with its id and what else each line shall carry.
+    /// Records the trace of a request that ended at `now_us`. Each line carries the request's `id` and `facts`.
     pub fn record_trace(
         &self,
         trace: Trace,
--- a/crates/pinhaven-record/src/ring.rs
+++ b/crates/pinhaven-record/src/ring.rs
@@ -1,7 +1,7 @@
-//! Lines that wait to be written, in a fixed number of bytes.
+//! Bounded buffer of lines between the threads that record and the thread that writes.
 //!
-//! Adding a line takes a short lock and never waits for the output. The fuller the ring, the more
-//! important a line must be to get in.
+//! Adding lines takes a short lock and never waits for the output. Each importance may fill the buffer up to its own
+//! share of the bytes, so that the least important lines are dropped first.
 
 use std::collections::VecDeque;
 use std::sync::Condvar;
@@ -10,21 +10,21 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-/// How important lines are, the least first.
+/// Importance of lines, in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Importance {
-    /// Requests that went as they should.
+    /// Requests answered at the first attempt and in time.
     Plain,
-    /// Requests that needed more than one attempt or came late.
+    /// Requests that took more than one attempt or exceeded the latency objective.
     Unusual,
-    /// Requests that failed, and what the process believes.
+    /// Failed requests, and events and state changes of the process.
     Failure,
 }
 
 impl Importance {
     const ALL: [Self; 3] = [Self::Plain, Self::Unusual, Self::Failure];
 
-    /// Share of the ring up to which such lines are taken.
+    /// Share of the ring's bytes up to which lines of this importance are accepted.
     fn capacity_share(self) -> f64 {
         match self {
             Self::Plain => 0.5,
@@ -34,17 +34,17 @@
     }
 }
 
-/// What became of lines so far.
+/// Number of lines accepted and dropped so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RingCounts {
-    /// Lines taken.
+    /// Lines accepted.
     pub accepted: u64,
-    /// Lines dropped, by importance.
+    /// Lines dropped, by importance in ascending order.
     pub dropped: [u64; 3],
 }
 
 impl RingCounts {
-    /// All lines dropped.
+    /// Returns the number of lines dropped, of any importance.
     pub fn all_dropped(&self) -> u64 {
         self.dropped.iter().sum()
     }
@@ -58,7 +58,7 @@
     is_closed: bool,
 }
 
-/// A ring of lines.
+/// A bounded buffer of lines.
 #[derive(Debug)]
 pub struct Ring {
     bytes_max: usize,
@@ -67,7 +67,7 @@
 }
 
 impl Ring {
-    /// A ring that holds up to `bytes_max`.
+    /// Creates a ring that holds up to `bytes_max` bytes of text.
     pub fn new(bytes_max: usize) -> Self {
         Self {
             bytes_max,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Adds lines that belong together, all or none. Returns whether they were taken.
+    /// Adds either all of `lines` or none. Returns whether the lines were accepted.
     pub fn add(&self, importance: Importance, lines: Vec<String>) -> bool {
         let bytes: usize = lines.iter().map(String::len).sum();
         let capacity = (self.bytes_max as f64 * importance.capacity_share()) as usize;
@@ -96,19 +96,19 @@
         true
     }
 
-    /// What became of lines so far.
+    /// Returns the number of lines accepted and dropped so far.
     pub fn counts(&self) -> RingCounts {
         self.lock().counts
     }
 
-    /// Takes no more lines; lines in the ring can still be taken out.
+    /// Closes the ring. New lines are dropped and counted; buffered lines can still be taken.
     pub fn close(&self) {
         self.lock().is_closed = true;
         self.has_lines.notify_all();
     }
 
-    /// Takes all lines out, waiting for some for at most `wait`. `None` once the ring is closed
-    /// and empty.
+    /// Takes all buffered lines, after waiting at most `wait` for the first. Returns `None` once the ring is closed and
+    /// empty.
     pub fn take(&self, wait: Duration) -> Option<String> {
         let mut state = self.lock();
         if state.lines.is_empty() && !state.is_closed {
--- a/crates/pinhaven-record/src/timeline.rs
+++ b/crates/pinhaven-record/src/timeline.rs
@@ -1,31 +1,31 @@
-//! Records over time: refusals and answers by the second, and what entries came to believe.
+//! Aggregates records over time: refusals and slowest answers by second, and state changes of the entries.
 
 use crate::read::ReadLine;
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-/// Something that happened at one time, for all entries.
+/// A state change, at the time when the first entry recorded it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Mark {
     /// Seconds since the first line.
     pub at_s: f64,
-    /// What it was, such as `bundle in_force 12`.
+    /// Part, event and facts, such as `bundle in_force 12`.
     pub name: String,
 }
 
-/// Records by the second.
+/// Refusals, slowest answers and state changes over time.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Timeline {
-    /// Refusals, by reason and second.
+    /// Number of refusals, by reason and by second.
     pub refusals: BTreeMap<String, BTreeMap<u64, u64>>,
-    /// The longest time until an answer that was recorded in each second, in milliseconds.
+    /// Longest time from the first attempt to the answer among the answers of each second, in milliseconds.
     pub slowest_ms: BTreeMap<u64, f64>,
-    /// Versions, targets and the store; each once, when the first entry came to believe it.
+    /// State changes of versions, targets and the store, each at the time when the first entry recorded it.
     pub marks: Vec<Mark>,
 }
 
 impl Timeline {
-    /// The timeline of lines in the order of their times.
+    /// Builds the timeline of `lines`, which must be ordered by time.
     pub fn new(lines: &[ReadLine]) -> Self {
         let mut timeline = Self::default();
         let Some(first) = lines.first() else {
--- a/crates/pinhaven-record/src/trace.rs
+++ b/crates/pinhaven-record/src/trace.rs
@@ -1,96 +1,97 @@
-//! What happened to one request.
+//! Events of one request, collected until the request ends and then turned into lines of the record.
 
 use crate::line::Line;
 use crate::ring::Importance;
 
-/// Part that the lines of requests carry.
+/// Part named in the lines of requests.
 const PART: &str = "request";
 
-/// A target that was chosen, and what decided it.
+/// The target chosen for an attempt, and the values that decided the choice.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Chosen {
-    /// The target's id, or its address if it has none.
+    /// Id of the target, or its address if it has no id.
     pub target: String,
-    /// When its answer was expected, in milliseconds.
+    /// Forecast time until the target's answer, in milliseconds.
     pub forecast_ms: f32,
-    /// Requests that it was thought to hold.
+    /// Estimated load of the target, in requests.
     pub load: f32,
-    /// How many times longer than usual work was thought to take there.
+    /// Estimated factor by which work takes longer at the target than usual.
     pub slowdown: f32,
-    /// Age of its last word on that, in milliseconds; `None` when it never said anything.
+    /// Age of the target's last report, in milliseconds; `None` if it has never reported.
     pub report_age_ms: Option<f64>,
 }
 
-/// Targets as they were known when a request was refused; one may count for several reasons.
+/// Number of targets by state when a request was refused. One target may count in several states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetCounts {
-    /// All.
+    /// All targets.
     pub all: u32,
-    /// Those that were leaving.
+    /// Targets that were leaving.
     pub leaving: u32,
-    /// Those that rested.
+    /// Targets that were resting.
     pub resting: u32,
-    /// Those that were ejected.
+    /// Targets that were ejected.
     pub ejected: u32,
-    /// Those that were slow.
+    /// Targets that were slow.
     pub slow: u32,
-    /// Those whose slots were all taken.
+    /// Targets without a free slot.
     pub full: u32,
 }
 
-/// Something that happened to a request.
+/// An event of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TraceEvent {
-    /// It was sent to a target.
+    /// An attempt was sent to a target.
     Sent {
         /// Number of the attempt.
         attempt: u32,
-        /// Where to and why.
+        /// Chosen target and reasons of the choice.
         chosen: Chosen,
     },
     /// An attempt ended.
     Ended {
         /// Number of the attempt.
         attempt: u32,
-        /// How: `answered`, `failed`, `shed`, `not_sent`, `closed`, `broken`, `crashed`, `restarted`, `cut` or `misdirected`.
+        /// Outcome: `answered`, `failed`, `shed`, `not_sent`, `closed`, `broken`, `crashed`, `restarted`, `cut` or
+        /// `misdirected`.
         outcome: &'static str,
         /// Status of the answer, if there was one.
         status: Option<u16>,
     },
-    /// An attempt was given up.
+    /// An attempt was cancelled.
     Cancelled {
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Its caller left.
+    /// The caller closed the connection before the answer.
     CallerLeft,
-    /// It was refused, or given up on.
+    /// The request was refused or abandoned.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: &'static str,
-        /// Whether it ran: `run`, `not-run` or `unknown`.
+        /// Whether a target ran the request: `run`, `not-run` or `unknown`.
         run: &'static str,
         /// Status of the refusal.
         status: u16,
-        /// When its caller was told to come back, in milliseconds.
+        /// Delay after which the caller may retry, in milliseconds.
         retry_after_ms: u64,
-        /// Requests that waited here.
+        /// Number of requests of the service that waited at this entry.
         waiting: u32,
-        /// How long it was held, in milliseconds.
+        /// Time from the request's start to the refusal, in milliseconds.
         held_ms: f64,
-        /// What was known of the targets, where they were looked at.
+        /// Target states; `None` if the request was refused before the targets were checked.
         targets: Option<TargetCounts>,
     },
-    /// Its answer broke off when a part of it had been passed on.
+    /// The answer broke off after a part of the body had been sent to the caller.
     AnswerCut {
         /// Number of the attempt.
         attempt: u32,
-        /// How much of the answer's body the caller got, in bytes.
+        /// Length of the body part sent to the caller, in bytes.
         passed_bytes: u64,
     },
-    /// It was answered.
+    /// The request was answered.
     Delivered {
-        /// Number of the attempt whose answer it was.
+        /// Number of the attempt that gave the answer.
         attempt: u32,
         /// Status of the answer.
         status: u16,
@@ -104,17 +105,18 @@
 }
 
 impl Trace {
-    /// Adds an event at `at_us` on the entry's clock.
+    /// Adds an event that happened at `at_us` on the entry's clock.
     pub fn add(&mut self, at_us: u64, event: TraceEvent) {
         self.events.push((at_us, event));
     }
 
-    /// Whether nothing has happened.
+    /// Returns whether the trace has no events.
     pub fn is_empty(&self) -> bool {
         self.events.is_empty()
     }
 
-    /// How important the trace is, for a request that took `duration_us` and should have taken `aim_us`.
+    /// Returns the importance of the trace for a request that took `duration_us`, with the route's latency objective
+    /// `aim_us`.
     pub fn importance(&self, duration_us: u64, aim_us: Option<u64>) -> Importance {
         let has_failed = self.events.iter().any(|(_, event)| match event {
             TraceEvent::Refused { .. } | TraceEvent::CallerLeft | TraceEvent::AnswerCut { .. } => {
@@ -135,8 +137,8 @@
         }
     }
 
-    /// The lines of the trace, told at `now_us`. Each carries what `head` says: the request's id, its
-    /// route and the version in force.
+    /// Returns the trace as lines of the record, as of `now_us` on the entry's clock. Each line carries
+    /// `common_facts`: the request's id, its route and the version in force.
     pub fn into_lines(self, now_us: u64, common_facts: &[(&str, String)]) -> Vec<String> {
         let to_text = |(at_us, event): (u64, TraceEvent)| {
             let ago_us = now_us.saturating_sub(at_us);
@@ -144,7 +146,7 @@
             for (field, value) in common_facts {
                 line = line.with(field, value.as_str());
             }
-            add_event_facts(line, event).into_text()
+            add_facts(line, event).into_text()
         };
         self.events.into_iter().map(to_text).collect()
     }
@@ -162,11 +164,9 @@
     }
 }
 
-fn add_event_facts(line: Line, event: TraceEvent) -> Line {
+fn add_facts(line: Line, event: TraceEvent) -> Line {
     match event {
-        TraceEvent::Sent { attempt, chosen } => {
-            add_chosen_facts(line.with("attempt", attempt), &chosen)
-        }
+        TraceEvent::Sent { attempt, chosen } => add_sent(line.with("attempt", attempt), &chosen),
         TraceEvent::Ended {
             attempt,
             outcome,
@@ -185,7 +185,7 @@
             waiting,
             held_ms,
             targets,
-        } => add_target_counts(
+        } => add_targets(
             line.with("reason", reason)
                 .with("run", run)
                 .with("status", status)
@@ -206,7 +206,7 @@
     }
 }
 
-fn add_chosen_facts(line: Line, chosen: &Chosen) -> Line {
+fn add_sent(line: Line, chosen: &Chosen) -> Line {
     let line = line
         .with("target", chosen.target.as_str())
         .with_number("forecast_ms", f64::from(chosen.forecast_ms))
@@ -218,7 +218,7 @@
     }
 }
 
-fn add_target_counts(line: Line, targets: Option<TargetCounts>) -> Line {
+fn add_targets(line: Line, targets: Option<TargetCounts>) -> Line {
     let Some(targets) = targets else {
         return line;
     };
--- a/crates/pinhaven-record/src/writer.rs
+++ b/crates/pinhaven-record/src/writer.rs
@@ -1,15 +1,17 @@
-//! Writing what a ring holds.
+//! Writes the lines of a ring to an output.
 
 use crate::line::Line;
 use crate::ring::Ring;
 use std::io::Write;
 use std::time::Duration;
 
-/// How long the writer waits for lines before it looks whether some were dropped.
+/// Maximum time to wait for lines before checking whether lines were dropped.
 const WAIT_MAX: Duration = Duration::from_secs(5);
 
-/// Writes the lines of a ring until it is closed and empty, or the output takes no more. It may stand
-/// still for as long as the output does; only the thread that runs it waits.
+/// Writes the lines of `ring` to `output` until the ring is closed and empty, or until a write fails. A blocked output
+/// blocks the calling thread only; threads that add lines to the ring never wait for it.
+///
+/// After lines were dropped, a `record dropped` line with the number of dropped lines by importance is written.
 pub fn write_lines(ring: &Ring, mut output: impl Write) {
     let mut reported_dropped = 0;
     while let Some(text) = ring.take(WAIT_MAX) {
@@ -18,7 +20,7 @@
             .and_then(|()| output.flush())
             .is_ok();
         if !is_written {
-            // Nobody reads any more; what comes is dropped and counted.
+            // The output is closed. Later lines are dropped and counted.
             ring.close();
             return;
         }
@@ -30,7 +32,7 @@
                 .with("plain", plain)
                 .with("unusual", unusual)
                 .with("failure", failure);
-            // If this fails, so will the next.
+            // If this write fails, the next write fails too and ends the loop.
             let _ = output.write_all(line.into_text().as_bytes());
         }
     }
--- a/crates/pinhaven-record/tests/behind.rs
+++ b/crates/pinhaven-record/tests/behind.rs
@@ -1,12 +1,15 @@
-//! Entries that are behind are named from their records, also those that never heard of what they lack.
+//! Entries that serve by an older version are found from records.
+//!
+//! Guards against a report that omits an entry which never learned of a newer version: such an entry records nothing
+//! about it, and only the records of the other entries show the difference.
 
 use pinhaven_record::EntryBehind;
 use pinhaven_record::entries_behind;
 use pinhaven_record::read_lines;
 
 fn behind(text: &str) -> Vec<EntryBehind> {
-    let (lines, bad) = read_lines(text);
-    assert_eq!(bad, 0);
+    let (lines, invalid) = read_lines(text);
+    assert_eq!(invalid, 0);
     entries_behind(&lines)
 }
 
--- a/crates/pinhaven-record/tests/record.rs
+++ b/crates/pinhaven-record/tests/record.rs
@@ -1,4 +1,6 @@
-//! Lines wait in bounded memory, and no output can hold anybody up.
+//! Buffering, writing and reading back of records.
+//!
+//! Guards against a blocked or closed output that delays requests or lets the buffer grow without bound.
 
 use pinhaven_record::Chosen;
 use pinhaven_record::Importance;
@@ -18,15 +20,15 @@
     vec!["x".repeat(length)]
 }
 
-/// An output that stands still until it is let go.
-struct Stalled {
-    go: mpsc::Receiver<()>,
+/// An output that blocks until the sender of `resume` is dropped.
+struct StalledOutput {
+    resume: mpsc::Receiver<()>,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Stalled {
+impl Write for StalledOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        let _ = self.go.recv();
+        let _ = self.resume.recv();
         self.written.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
     }
@@ -36,10 +38,10 @@
     }
 }
 
-/// An output that nobody reads.
-struct Closed;
+/// An output whose reader has closed the pipe.
+struct ClosedOutput;
 
-impl Write for Closed {
+impl Write for ClosedOutput {
     fn write(&mut self, _bytes: &[u8]) -> std::io::Result<usize> {
         Err(std::io::ErrorKind::BrokenPipe.into())
     }
@@ -73,21 +75,21 @@
 #[test]
 fn an_output_that_stands_still_holds_nobody_up_and_what_was_dropped_is_said() {
     let ring = Arc::new(Ring::new(1_000));
-    let (go, wait) = mpsc::channel();
+    let (release, released) = mpsc::channel();
     let written = Arc::new(Mutex::new(Vec::new()));
-    let output = Stalled {
-        go: wait,
+    let output = StalledOutput {
+        resume: released,
         written: Arc::clone(&written),
     };
     let shared = Arc::clone(&ring);
     let writer = std::thread::spawn(move || write_lines(&shared, output));
-    // Far more than fits; each call returns although nothing is written.
+    // Far more lines than fit into the ring. Each call returns although the writer is blocked.
     for _ in 0..10_000 {
         ring.add(Importance::Failure, line(100));
     }
     assert!(ring.counts().all_dropped() > 9_000);
     ring.close();
-    drop(go);
+    drop(release);
     writer.join().unwrap();
     let written = String::from_utf8(written.lock().unwrap().clone()).unwrap();
     assert!(written.contains("\"event\":\"dropped\""), "{written}");
@@ -97,7 +99,7 @@
 fn a_closed_output_ends_the_writer_and_nothing_else() {
     let ring = Ring::new(1_000);
     ring.add(Importance::Failure, line(10));
-    write_lines(&ring, Closed);
+    write_lines(&ring, ClosedOutput);
     assert!(!ring.add(Importance::Failure, line(10)));
     assert_eq!(ring.take(Duration::ZERO), None);
 }
@@ -157,8 +159,8 @@
     );
     let lines = trace.into_lines(3_000, &[("id", "r-1".to_owned())]);
     let text = format!("  6.5 edge-1 {}garbage\n{}", lines[0], lines[1]);
-    let (read, bad) = read_lines(&text);
-    assert_eq!(bad, 1);
+    let (read, invalid) = read_lines(&text);
+    assert_eq!(invalid, 1);
     assert_eq!(read.len(), 2);
     assert_eq!(read[0].event, "sent");
     assert_eq!(read[0].text("id"), "r-1");
@@ -177,8 +179,8 @@
         {"time_s": 101.9, "part": "request", "event": "refused", "reason": "overloaded", "id": "c"}
         {"time_s": 103.5, "part": "store", "event": "lost", "instance": "e1"}
     "#;
-    let (lines, bad) = read_lines(text);
-    assert_eq!(bad, 0);
+    let (lines, invalid) = read_lines(text);
+    assert_eq!(invalid, 0);
     let timeline = Timeline::new(&lines);
     assert_eq!(timeline.refusals["overloaded"], [(1, 2)].into());
     assert!((timeline.slowest_ms[&0] - 400.0).abs() < 1.0);
@@ -202,8 +204,8 @@
         restarted(1.5, "e2", 2_000),
         restarted(4.0, "e1", 5_000),
     ];
-    let (lines, bad) = read_lines(&text.join("\n"));
-    assert_eq!(bad, 0);
+    let (lines, invalid) = read_lines(&text.join("\n"));
+    assert_eq!(invalid, 0);
     let timeline = Timeline::new(&lines);
     let marks: Vec<(f64, &str)> = timeline
         .marks
