--- a/crates/pinhaven-command/src/bundle/history.rs
+++ b/crates/pinhaven-command/src/bundle/history.rs
@@ -4,8 +4,8 @@
 use crate::output::FormatArguments;
 use crate::output::Row;
 use crate::platform::PlatformArguments;
-use crate::platform::readable;
-use crate::platform::run as run_calls;
+use crate::platform::parse_or_skip;
+use crate::platform::run_calls;
 use clap::Args;
 use pinhaven_bundle::BundleHead;
 use pinhaven_platform::TableService;
@@ -30,7 +30,7 @@
 }
 
 impl Row for VersionRow {
-    const HEADS: &'static [&'static str] = &["version", "signed off by", "digest"];
+    const HEADERS: &'static [&'static str] = &["version", "signed off by", "digest"];
 
     fn cells(&self) -> Vec<String> {
         vec![
@@ -46,7 +46,7 @@
     let listed = run_calls(async { table.list(HISTORY_PREFIX).await })?;
     let mut rows = Vec::new();
     for row in listed {
-        let Some(head) = readable::<BundleHead>(&row) else {
+        let Some(head) = parse_or_skip::<BundleHead>(&row) else {
             continue;
         };
         rows.push(VersionRow {
--- a/crates/pinhaven-command/src/bundle/roll.rs
+++ b/crates/pinhaven-command/src/bundle/roll.rs
@@ -6,8 +6,8 @@
 
 use crate::CommandError;
 use crate::platform::PlatformArguments;
-use crate::platform::head_of;
-use crate::platform::run as run_calls;
+use crate::platform::parse_head;
+use crate::platform::run_calls;
 use clap::Args;
 use pinhaven_bundle::BundleDelta;
 use pinhaven_bundle::BundleHead;
@@ -26,7 +26,7 @@
 use std::path::PathBuf;
 
 /// How often a write whose outcome is unknown is looked at and tried again.
-const TRIES: u32 = 5;
+const ATTEMPTS_MAX: u32 = 5;
 
 #[derive(Debug, Args)]
 pub(crate) struct RollArguments {
@@ -69,12 +69,12 @@
     write_delta(&objects, &table, head, body).await;
     let value = serde_json::to_string(head).map_err(CommandError::new)?;
     let mut outcome = Ok(());
-    for _ in 0..TRIES {
-        let held = table.read(BUNDLE_HEAD).await?;
-        let (condition, newest) = match &held {
+    for _ in 0..ATTEMPTS_MAX {
+        let head_row = table.read(BUNDLE_HEAD).await?;
+        let (condition, newest) = match &head_row {
             None => (Condition::Absent, None),
             Some(row) => {
-                let newest = head_of(row)?;
+                let newest = parse_head(row)?;
                 (Condition::Version(row.version.clone()), Some(newest))
             }
         };
@@ -123,8 +123,8 @@
 }
 
 fn check_follows(newest: Option<&BundleHead>, head: &BundleHead) -> Result<(), CommandError> {
-    let held = newest.map_or(BundleVersion::NONE, |newest| newest.version);
-    if held.next() == head.version {
+    let newest_version = newest.map_or(BundleVersion::NONE, |newest| newest.version);
+    if newest_version.next() == head.version {
         return Ok(());
     }
     Err(match newest {
@@ -132,11 +132,11 @@
             "version {} is the newest, signed off by {}; make yours version {} on top of it",
             newest.version,
             newest.signer,
-            held.next()
+            newest_version.next()
         )),
         _ => CommandError::new(format!(
-            "version {held} is the newest; the next one is {}, not {}",
-            held.next(),
+            "version {newest_version} is the newest; the next one is {}, not {}",
+            newest_version.next(),
             head.version
         )),
     })
--- a/crates/pinhaven-command/src/bundle/status.rs
+++ b/crates/pinhaven-command/src/bundle/status.rs
@@ -4,9 +4,9 @@
 use crate::output::FormatArguments;
 use crate::output::Row;
 use crate::platform::PlatformArguments;
-use crate::platform::head_of;
 use crate::platform::list_entries;
-use crate::platform::run as run_calls;
+use crate::platform::parse_head;
+use crate::platform::run_calls;
 use clap::Args;
 use pinhaven_platform::BUNDLE_HEAD;
 use pinhaven_platform::TableService;
@@ -32,7 +32,7 @@
 }
 
 impl Row for DomainRow {
-    const HEADS: &'static [&'static str] = &[
+    const HEADERS: &'static [&'static str] = &[
         "failure domain",
         "newest",
         "in force",
@@ -59,7 +59,7 @@
         let newest = match table.read(BUNDLE_HEAD).await? {
             None => 0,
             Some(row) => {
-                let head = head_of(&row)?;
+                let head = parse_head(&row)?;
                 head.version.number()
             }
         };
@@ -78,7 +78,11 @@
         };
         let version = status.own.version.number();
         domain.entries += 1;
-        domain.in_force = Some(domain.in_force.map_or(version, |least| least.min(version)));
+        domain.in_force = Some(
+            domain
+                .in_force
+                .map_or(version, |lowest| lowest.min(version)),
+        );
         if version < newest {
             domain.lagging.push(format!("{instance}@{version}"));
         }
--- a/crates/pinhaven-command/src/entry.rs
+++ b/crates/pinhaven-command/src/entry.rs
@@ -34,9 +34,9 @@
             faults.join("; ")
         })
     }));
-    let ended = pinhaven_entry::run_entry(settings, environment);
+    let result = pinhaven_entry::run_entry(settings, environment);
     log.finish();
-    match ended {
+    match result {
         Ok(true) => Ok(()),
         Ok(false) => Err(CommandError::new(
             "the stop was cut short with requests in flight",
--- a/crates/pinhaven-command/src/instances.rs
+++ b/crates/pinhaven-command/src/instances.rs
@@ -3,10 +3,10 @@
 use crate::CommandError;
 use crate::output::FormatArguments;
 use crate::output::Row;
-use crate::platform::Listed;
+use crate::platform::ListedEntry;
 use crate::platform::PlatformArguments;
 use crate::platform::list_entries;
-use crate::platform::run as run_calls;
+use crate::platform::run_calls;
 use clap::Args;
 use serde::Serialize;
 
@@ -32,7 +32,7 @@
 }
 
 impl Row for InstanceRow {
-    const HEADS: &'static [&'static str] = &[
+    const HEADERS: &'static [&'static str] = &[
         "instance",
         "failure domain",
         "state",
@@ -60,9 +60,9 @@
     }
 }
 
-impl From<Listed> for InstanceRow {
-    fn from(listed: Listed) -> Self {
-        let Listed { row, status } = listed;
+impl From<ListedEntry> for InstanceRow {
+    fn from(listed: ListedEntry) -> Self {
+        let ListedEntry { row, status } = listed;
         let state = match &status {
             Some(status) => format!("{:?}", status.own.state).to_lowercase(),
             None => "no answer".to_owned(),
--- a/crates/pinhaven-command/src/lib.rs
+++ b/crates/pinhaven-command/src/lib.rs
@@ -1,6 +1,6 @@
 //! The command line: one file a command, named after it.
 //!
-//! Exit codes: 0 done, 1 refused or failed, 2 wrong words on the command line, 3 the outcome of a
+//! Exit codes: 0 done, 1 refused or failed, 2 wrong arguments on the command line, 3 the outcome of a
 //! write is unknown.
 
 mod bundle;
@@ -85,11 +85,11 @@
 }
 
 /// Exit code of an outcome that nobody can tell.
-const EXIT_UNKNOWN: u8 = 3;
+const EXIT_OUTCOME_UNKNOWN: u8 = 3;
 
-/// Runs the command that the words name.
-pub fn run(words: impl IntoIterator<Item = OsString>) -> ExitCode {
-    let cli = match Cli::try_parse_from(words) {
+/// Runs the command that the arguments name.
+pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
+    let cli = match Cli::try_parse_from(arguments) {
         Ok(cli) => cli,
         Err(error) => {
             // A closed output is no reason to fail.
@@ -107,7 +107,7 @@
                 eprintln!("help: {help}");
             }
             if error.is_outcome_unknown {
-                ExitCode::from(EXIT_UNKNOWN)
+                ExitCode::from(EXIT_OUTCOME_UNKNOWN)
             } else {
                 ExitCode::FAILURE
             }
--- a/crates/pinhaven-command/src/logging.rs
+++ b/crates/pinhaven-command/src/logging.rs
@@ -19,7 +19,7 @@
 /// Level of parts that the settings don't name.
 const LEVEL_DEFAULT: LevelFilter = LevelFilter::Info;
 /// How long the end of the process waits for an output that takes its last lines.
-const LAST_LINES_WAIT: Duration = Duration::from_millis(300);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 /// Stack of the thread that writes, in bytes; it only copies lines.
 const WRITER_STACK_BYTES: usize = 128 * 1024;
 
@@ -27,7 +27,7 @@
 pub(crate) struct Log {
     ring: Arc<Ring>,
     plain_one_in: u64,
-    written: mpsc::Receiver<()>,
+    writer_done: mpsc::Receiver<()>,
 }
 
 impl Log {
@@ -40,14 +40,14 @@
     pub(crate) fn finish(self) {
         self.ring.close();
         // An output that stands still must not keep the process from ending.
-        let _ = self.written.recv_timeout(LAST_LINES_WAIT);
+        let _ = self.writer_done.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
 /// Starts logging to the standard output.
 pub(crate) fn start(settings: &LogSettings) -> Result<Log, String> {
     let ring = Arc::new(Ring::new(settings.ring_bytes));
-    let written = start_writer(Arc::clone(&ring)).map_err(|error| error.to_string())?;
+    let writer_done = start_writer(Arc::clone(&ring)).map_err(|error| error.to_string())?;
     let format = settings.format;
     let mut dispatch = fern::Dispatch::new()
         .level(LEVEL_DEFAULT)
@@ -79,12 +79,12 @@
     Ok(Log {
         ring,
         plain_one_in: settings.plain_one_in,
-        written,
+        writer_done,
     })
 }
 
 fn start_writer(ring: Arc<Ring>) -> std::io::Result<mpsc::Receiver<()>> {
-    let (done, written) = mpsc::channel();
+    let (done, writer_done) = mpsc::channel();
     std::thread::Builder::new()
         .name("log".to_owned())
         .stack_size(WRITER_STACK_BYTES)
@@ -93,7 +93,7 @@
             // Nobody may be waiting for this any more.
             let _ = done.send(());
         })?;
-    Ok(written)
+    Ok(writer_done)
 }
 
 fn seconds_since_epoch() -> f64 {
--- a/crates/pinhaven-command/src/output.rs
+++ b/crates/pinhaven-command/src/output.rs
@@ -24,7 +24,7 @@
 /// A result that can be a row of a table.
 pub(crate) trait Row: Serialize {
     /// Heads of the columns.
-    const HEADS: &'static [&'static str];
+    const HEADERS: &'static [&'static str];
 
     /// The cells.
     fn cells(&self) -> Vec<String>;
@@ -41,7 +41,7 @@
             Format::Table => {
                 let mut table = comfy_table::Table::new();
                 table.load_style(comfy_table::presets::NOTHING);
-                table.set_header(R::HEADS);
+                table.set_header(R::HEADERS);
                 for row in rows {
                     table.add_row(row.cells());
                 }
--- a/crates/pinhaven-command/src/platform.rs
+++ b/crates/pinhaven-command/src/platform.rs
@@ -55,34 +55,36 @@
 }
 
 /// The head that a row holds, where nothing can be done without it.
-pub(crate) fn head_of(row: &Row) -> Result<BundleHead, CommandError> {
+pub(crate) fn parse_head(row: &Row) -> Result<BundleHead, CommandError> {
     serde_json::from_str(&row.value)
         .map_err(|error| CommandError::new(format!("row {} can't be read: {error}", row.key)))
 }
 
 /// What a row holds; one that can't be read is named and left out.
-pub(crate) fn readable<T: DeserializeOwned>(row: &Row) -> Option<T> {
+pub(crate) fn parse_or_skip<T: DeserializeOwned>(row: &Row) -> Option<T> {
     serde_json::from_str(&row.value)
         .inspect_err(|error| eprintln!("note: row {} is left out: {error}", row.key))
         .ok()
 }
 
 /// An entry of the platform's list, with its status if it answers.
-pub(crate) struct Listed {
+pub(crate) struct ListedEntry {
     pub(crate) row: MemberRow,
     pub(crate) status: Option<InstanceStatus>,
 }
 
 /// The entries of the platform's list, each asked for its status.
-pub(crate) async fn list_entries(table: &HttpTableService) -> Result<Vec<Listed>, CommandError> {
+pub(crate) async fn list_entries(
+    table: &HttpTableService,
+) -> Result<Vec<ListedEntry>, CommandError> {
     let mut listed = Vec::new();
     for row in table.list(ENTRY_PREFIX).await? {
-        let Some(row) = readable::<MemberRow>(&row) else {
+        let Some(row) = parse_or_skip::<MemberRow>(&row) else {
             continue;
         };
         let status = status_of(row.peer_address).await;
         let status = status.filter(|status| status.own.incarnation == row.incarnation);
-        listed.push(Listed { row, status });
+        listed.push(ListedEntry { row, status });
     }
     Ok(listed)
 }
@@ -97,6 +99,6 @@
 }
 
 /// Runs a command's calls.
-pub(crate) fn run<T>(calls: impl Future<Output = T>) -> T {
+pub(crate) fn run_calls<T>(calls: impl Future<Output = T>) -> T {
     pinhaven_runtime::block_on(calls)
 }
--- a/crates/pinhaven-command/src/report.rs
+++ b/crates/pinhaven-command/src/report.rs
@@ -14,7 +14,7 @@
 use std::path::PathBuf;
 
 /// Size of the drawing, in pixels.
-const SIZE: (u32, u32) = (1_200, 800);
+const SIZE_PX: (u32, u32) = (1_200, 800);
 
 #[derive(Debug, Args)]
 pub(crate) struct ReportArguments {
@@ -27,9 +27,9 @@
 }
 
 pub(crate) fn run(arguments: &ReportArguments) -> Result<(), CommandError> {
-    let (lines, bad) = read_all(&arguments.files)?;
-    if bad > 0 {
-        eprintln!("{bad} lines are no records and were passed over");
+    let (lines, invalid) = read_all(&arguments.files)?;
+    if invalid > 0 {
+        eprintln!("{invalid} lines are no records and were passed over");
     }
     if lines.is_empty() {
         return Err(CommandError::new("there is no line to draw"));
@@ -67,7 +67,7 @@
 }
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
 /// A named line of points, one a second.
 struct Series<'timeline> {
@@ -76,14 +76,14 @@
 }
 
 fn draw(arguments: &ReportArguments, timeline: &Timeline) -> Result<(), String> {
-    let area = SVGBackend::new(&arguments.out, SIZE).into_drawing_area();
-    let drawn = draw_both(&area, timeline);
-    drawn.map_err(|error| format!("{}: {error}", arguments.out.display()))
+    let area = SVGBackend::new(&arguments.out, SIZE_PX).into_drawing_area();
+    let result = draw_charts(&area, timeline);
+    result.map_err(|error| format!("{}: {error}", arguments.out.display()))
 }
 
-fn draw_both(area: &Area<'_>, timeline: &Timeline) -> Drawn {
+fn draw_charts(area: &Area<'_>, timeline: &Timeline) -> DrawResult {
     area.fill(&WHITE)?;
-    let (upper, lower) = area.split_vertically(SIZE.1 / 2);
+    let (upper, lower) = area.split_vertically(SIZE_PX.1 / 2);
     let refusals: Vec<Series<'_>> = timeline
         .refusals
         .iter()
@@ -103,30 +103,30 @@
 }
 
 fn points<T>(seconds: &BTreeMap<u64, T>, value: impl Fn(&T) -> f64) -> Vec<(f64, f64)> {
-    let point = |(second, held): (&u64, &T)| (*second as f64, value(held));
+    let point = |(second, item): (&u64, &T)| (*second as f64, value(item));
     seconds.iter().map(point).collect()
 }
 
-fn draw_chart(area: &Area<'_>, unit: &str, series: &[Series<'_>], marks: &[Mark]) -> Drawn {
+fn draw_chart(area: &Area<'_>, unit: &str, series: &[Series<'_>], marks: &[Mark]) -> DrawResult {
     let all = || series.iter().flat_map(|series| &series.points);
-    let marked_s = marks.iter().map(|mark| mark.at_s);
-    let x_most = all()
+    let mark_times_s = marks.iter().map(|mark| mark.at_s);
+    let x_max = all()
         .map(|point| point.0)
-        .chain(marked_s)
+        .chain(mark_times_s)
         .fold(1.0, f64::max);
-    let y_most = all().map(|point| point.1).fold(1.0, f64::max);
+    let y_max = all().map(|point| point.1).fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(area)
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..x_most, 0.0..y_most * 1.1)?;
+        .build_cartesian_2d(0.0..x_max, 0.0..y_max * 1.1)?;
     chart
         .configure_mesh()
         .x_desc("seconds")
         .y_desc(unit)
         .draw()?;
     for mark in marks {
-        let line = vec![(mark.at_s, 0.0), (mark.at_s, y_most * 1.1)];
+        let line = vec![(mark.at_s, 0.0), (mark.at_s, y_max * 1.1)];
         chart.draw_series(LineSeries::new(line, colour_of(mark).mix(0.5)))?;
     }
     for (index, series) in series.iter().enumerate() {
--- a/crates/pinhaven-command/src/targets.rs
+++ b/crates/pinhaven-command/src/targets.rs
@@ -5,7 +5,7 @@
 use crate::output::Row;
 use crate::platform::PlatformArguments;
 use crate::platform::list_entries;
-use crate::platform::run as run_calls;
+use crate::platform::run_calls;
 use clap::Args;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 }
 
 impl Row for TargetRow {
-    const HEADS: &'static [&'static str] = &[
+    const HEADERS: &'static [&'static str] = &[
         "service",
         "target",
         "failure domain",
