--- a/crates/pinhaven-command/src/bundle/check.rs
+++ b/crates/pinhaven-command/src/bundle/check.rs
@@ -1,4 +1,4 @@
-//! `pinhaven bundle check`: checks a bundle and names every fault.
+//! `pinhaven bundle check`: checks a bundle and prints every fault.
 
 use crate::CommandError;
 use clap::Args;
@@ -6,7 +6,7 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct CheckArguments {
-    /// File with the bundle, JSON with comments.
+    /// Bundle file, JSON with comments.
     file: PathBuf,
 }
 
--- a/crates/pinhaven-command/src/bundle/diff.rs
+++ b/crates/pinhaven-command/src/bundle/diff.rs
@@ -8,9 +8,9 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct DiffArguments {
-    /// File with the bundle before.
+    /// File with the old bundle.
     before: PathBuf,
-    /// File with the bundle after.
+    /// File with the new bundle.
     after: PathBuf,
 }
 
--- a/crates/pinhaven-command/src/bundle/history.rs
+++ b/crates/pinhaven-command/src/bundle/history.rs
@@ -1,4 +1,4 @@
-//! `pinhaven bundle history`: lists the versions and who signed them off.
+//! `pinhaven bundle history`: lists the versions and their signers.
 
 use crate::CommandError;
 use crate::output::FormatArguments;
@@ -11,7 +11,7 @@
 use pinhaven_platform::TableService;
 use serde::Serialize;
 
-/// Start of the rows of the history.
+/// Key prefix of the history rows.
 const HISTORY_PREFIX: &str = "pinhaven/bundle/history/";
 
 #[derive(Debug, Args)]
--- a/crates/pinhaven-command/src/bundle/key.rs
+++ b/crates/pinhaven-command/src/bundle/key.rs
@@ -1,4 +1,4 @@
-//! `pinhaven bundle key`: makes a key to sign bundles off with.
+//! `pinhaven bundle key`: creates a key to sign bundles off with.
 
 use crate::CommandError;
 use clap::Args;
@@ -8,7 +8,7 @@
 use std::os::unix::fs::OpenOptionsExt as _;
 use std::path::PathBuf;
 
-/// Only the owner may read a key file.
+/// Mode of a key file: only the owner may read and write it.
 const KEY_FILE_MODE: u32 = 0o600;
 
 #[derive(Debug, Args)]
--- a/crates/pinhaven-command/src/bundle/mod.rs
+++ b/crates/pinhaven-command/src/bundle/mod.rs
@@ -17,9 +17,9 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum BundleCommand {
-    /// Make a key to sign bundles off with.
+    /// Create a key to sign bundles off with.
     Key(key::KeyArguments),
-    /// Check a bundle and name every fault.
+    /// Check a bundle and print every fault.
     Check(check::CheckArguments),
     /// Sign a bundle off.
     Sign(sign::SignArguments),
--- a/crates/pinhaven-command/src/bundle/roll.rs
+++ b/crates/pinhaven-command/src/bundle/roll.rs
@@ -1,8 +1,9 @@
 //! `pinhaven bundle roll`: makes a signed bundle the newest version.
 //!
-//! The body goes to the object store first, then one conditional write moves the head from the version
-//! before to this one. Of operators who race, one wins and the others are told by whom they lost. An
-//! answer that is lost is settled by reading the head back.
+//! The body is written to the object store first; then one conditional write moves the head from the previous version
+//! to the new one. If several operators roll at once, one write succeeds, and the others fail with an error that names
+//! the signer of the version in the head. After a write whose outcome is unknown, the head is read again: the operation
+//! id in the head shows whether the write took effect.
 
 use crate::CommandError;
 use crate::platform::PlatformArguments;
@@ -25,12 +26,12 @@
 use pinhaven_types::OperationId;
 use std::path::PathBuf;
 
-/// How often a write whose outcome is unknown is looked at and tried again.
+/// Maximum number of attempts to move the head after conflicts and unknown outcomes.
 const ATTEMPTS_MAX: u32 = 5;
 
 #[derive(Debug, Args)]
 pub(crate) struct RollArguments {
-    /// File with the signed bundle.
+    /// Signed bundle file.
     file: PathBuf,
     #[command(flatten)]
     platform: PlatformArguments,
@@ -42,13 +43,13 @@
     })?;
     let signed: SignedBundle = serde_json::from_str(&text).map_err(|error| {
         let file = arguments.file.display();
-        CommandError::new(format!("{file} is no signed bundle: {error}"))
+        CommandError::new(format!("{file} is not a signed bundle: {error}"))
     })?;
     let head = signed.head(OperationId::random());
     let body = CanonicalBundle::new(signed.body);
     if body.digest() != head.digest {
         return Err(CommandError::new(
-            "the body was altered after it was signed off; sign it again",
+            "the body was changed after it was signed off; sign it again",
         ));
     }
     run_calls(roll(arguments, &head, &body))?;
@@ -87,7 +88,7 @@
         check_follows(newest.as_ref(), head)?;
         match table.write(BUNDLE_HEAD, condition, value.clone()).await {
             Ok(_) => return write_history(&table, head, value).await,
-            // The next reading shows who won, or whether this write is there after all.
+            // The next read of the head shows whether another operator's write or this one took effect.
             Err(error @ (PlatformError::Conflict { .. } | PlatformError::Unknown { .. })) => {
                 outcome = Err(error.into());
             }
@@ -97,7 +98,7 @@
     outcome
 }
 
-/// Writes the difference from the newest version. Without it entries read the whole body.
+/// Writes the difference from the newest version. Entries read the whole body if there is no difference.
 async fn write_delta(
     objects: &impl ObjectStore,
     table: &impl TableService,
@@ -118,7 +119,9 @@
         objects.write(&key, bytes).await.ok()
     };
     if written.await.is_none() && head.version.number() > 1 {
-        eprintln!("note: no difference was written; entries will read the whole body");
+        eprintln!(
+            "note: could not write the difference from the previous version; entries will read the whole body"
+        );
     }
 }
 
@@ -142,7 +145,7 @@
     })
 }
 
-/// Notes the version in the history. A row that is there already is the same one.
+/// Writes the version to the history. An existing row of the version holds the same head.
 async fn write_history(
     table: &impl TableService,
     head: &BundleHead,
@@ -153,7 +156,7 @@
         Ok(_) | Err(PlatformError::Conflict { .. }) => Ok(()),
         Err(error) => {
             eprintln!(
-                "warning: version {} is in the head, not in the history: {error}",
+                "warning: version {} is in the head but could not be added to the history: {error}",
                 head.version
             );
             Ok(())
--- a/crates/pinhaven-command/src/bundle/sign.rs
+++ b/crates/pinhaven-command/src/bundle/sign.rs
@@ -10,12 +10,12 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct SignArguments {
-    /// File with the bundle, JSON with comments.
+    /// Bundle file, JSON with comments.
     file: PathBuf,
     /// Name of the person who signs off.
     #[arg(long)]
     signer: SignerName,
-    /// File with the person's private key.
+    /// File with the signer's private key.
     #[arg(long)]
     key: PathBuf,
     /// File to write the signed bundle to.
--- a/crates/pinhaven-command/src/completions.rs
+++ b/crates/pinhaven-command/src/completions.rs
@@ -8,7 +8,7 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct CompletionsArguments {
-    /// The shell.
+    /// Shell to generate completions for.
     shell: Shell,
 }
 
--- a/crates/pinhaven-command/src/entry.rs
+++ b/crates/pinhaven-command/src/entry.rs
@@ -14,7 +14,7 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct EntryArguments {
-    /// File with the settings, JSON with comments.
+    /// Settings file, JSON with comments.
     #[arg(long)]
     settings: PathBuf,
 }
@@ -39,7 +39,7 @@
     match result {
         Ok(true) => Ok(()),
         Ok(false) => Err(CommandError::new(
-            "the stop was cut short with requests in flight",
+            "the process stopped before all requests in flight were finished",
         )),
         Err(error) => Err(CommandError::with_help(error)),
     }
--- a/crates/pinhaven-command/src/explain.rs
+++ b/crates/pinhaven-command/src/explain.rs
@@ -1,4 +1,4 @@
-//! `pinhaven explain`: prints what happened to one request, from the records of several entries.
+//! `pinhaven explain`: prints the events of one request, from the records of several entries.
 
 use crate::CommandError;
 use clap::Args;
@@ -7,28 +7,28 @@
 use std::io::Read as _;
 use std::path::PathBuf;
 
-/// How long before a request what entries came to believe is still told, in seconds.
+/// Time before the request's first event from which state changes are shown, in seconds.
 const CONTEXT_BEFORE_S: f64 = 5.0;
-/// Facts that are not told again on each line.
+/// Facts in the header of the explanation, which the lines of the request don't repeat.
 const HEADER_FACTS: [&str; 5] = ["id", "instance", "route", "service", "version"];
 
 #[derive(Debug, Args)]
 pub(crate) struct ExplainArguments {
     /// Id of the request.
     id: String,
-    /// Records of entries; the standard input without any.
+    /// Record files of entries; standard input if none is given.
     files: Vec<PathBuf>,
 }
 
 pub(crate) fn run(arguments: &ExplainArguments) -> Result<(), CommandError> {
     let (lines, invalid) = read_all(&arguments.files)?;
     if invalid > 0 {
-        eprintln!("{invalid} lines are no records and were passed over");
+        eprintln!("{invalid} lines are no records and were skipped");
     }
     let explanation = explain(&arguments.id, lines);
     if explanation.is_empty() {
         return Err(CommandError::new(format!(
-            "no line tells of request {:?}; only some of the requests that went well are recorded",
+            "no line tells of request {:?}; only a sample of the successful requests is recorded",
             arguments.id
         )));
     }
@@ -38,7 +38,8 @@
     Ok(())
 }
 
-/// Reads all files, or the standard input if there are none.
+/// Reads all files, or standard input if there are none. Returns the lines ordered by time, and the number of lines that
+/// are no records.
 pub(crate) fn read_all(files: &[PathBuf]) -> Result<(Vec<ReadLine>, usize), CommandError> {
     let mut text = String::new();
     if files.is_empty() {
@@ -56,9 +57,11 @@
     Ok((lines, invalid))
 }
 
-/// What is told of a request: its own lines, and between and before them what the entry that had it
-/// came to believe of the targets that it was sent to, of versions and of the store, and which targets of
-/// its service had asked to be left or let rest, which leaves a request none.
+/// Returns the explanation of a request, one line of text per record.
+///
+/// Besides the request's own records, the explanation contains records of the request's entry from shortly before the
+/// request until its end: state changes of the targets that the request was sent to, of versions and of the store, and
+/// orders of targets of its service to leave or to rest. Such orders explain why a request found no target.
 fn explain(id: &str, lines: Vec<ReadLine>) -> Vec<String> {
     let is_own = |line: &&ReadLine| line.text("id") == id;
     let own: Vec<&ReadLine> = lines.iter().filter(is_own).collect();
@@ -90,7 +93,7 @@
     explanation
 }
 
-/// Whether a target of the request's service asked for something.
+/// Returns whether the line records an order of a target of the request's service.
 fn is_order(line: &ReadLine, request: &ReadLine) -> bool {
     let is_order_event = ["told_leaving", "told_rest"].contains(&&*line.event);
     is_order_event && line.text("service") == request.text("service")
--- a/crates/pinhaven-command/src/lib.rs
+++ b/crates/pinhaven-command/src/lib.rs
@@ -1,7 +1,6 @@
-//! The command line: one file a command, named after it.
+//! The command line of `pinhaven`, with one module per command.
 //!
-//! Exit codes: 0 done, 1 refused or failed, 2 wrong arguments on the command line, 3 the outcome of a
-//! write is unknown.
+//! Exit codes: 0 success, 1 refused or failed, 2 invalid arguments, 3 unknown outcome of a write.
 
 mod bundle;
 mod completions;
@@ -32,12 +31,12 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run an entry instance until it is told to stop.
+    /// Run an entry instance until it receives SIGTERM or SIGINT.
     Entry(entry::EntryArguments),
     /// Check, sign off and roll bundles, and see what is in force.
     #[command(subcommand)]
     Bundle(bundle::BundleCommand),
-    /// Tell what happened to one request, from the records of entries.
+    /// Explain what happened to one request, from the records of entries.
     Explain(explain::ExplainArguments),
     /// Draw refusals and answers over time, from the records of entries.
     Report(report::ReportArguments),
@@ -52,7 +51,7 @@
     Completions(completions::CompletionsArguments),
 }
 
-/// Why a command did not do what it was asked.
+/// The error of a command: lines for standard error, advice, and whether the outcome of a write is unknown.
 #[derive(Debug)]
 pub(crate) struct CommandError {
     lines: Vec<String>,
@@ -61,12 +60,12 @@
 }
 
 impl CommandError {
-    /// An error with a message of its own.
+    /// Creates an error with one message.
     fn new(message: impl fmt::Display) -> Self {
         Self::from_lines([message])
     }
 
-    /// An error of several lines.
+    /// Creates an error of several lines.
     fn from_lines(lines: impl IntoIterator<Item = impl fmt::Display>) -> Self {
         Self {
             lines: lines.into_iter().map(|line| line.to_string()).collect(),
@@ -75,7 +74,7 @@
         }
     }
 
-    /// An error that brings its advice along.
+    /// Creates an error with the advice that the error type provides.
     fn with_help(error: impl fmt::Display + Help) -> Self {
         Self {
             help: Some(error.help()),
@@ -84,15 +83,15 @@
     }
 }
 
-/// Exit code of an outcome that nobody can tell.
+/// Exit code for a write whose outcome is unknown.
 const EXIT_OUTCOME_UNKNOWN: u8 = 3;
 
-/// Runs the command that the arguments name.
+/// Parses the command-line arguments, runs the command and returns the exit code.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = match Cli::try_parse_from(arguments) {
         Ok(cli) => cli,
         Err(error) => {
-            // A closed output is no reason to fail.
+            // A closed output doesn't change the exit code.
             let _ = error.print();
             return ExitCode::from(u8::try_from(error.exit_code()).unwrap_or(2));
         }
--- a/crates/pinhaven-command/src/logging.rs
+++ b/crates/pinhaven-command/src/logging.rs
@@ -1,6 +1,6 @@
-//! Logs: a line an event on standard output, with a level for each part.
+//! Logging to standard output, one line per event, with a level per part of the software.
 //!
-//! All lines go through one ring of fixed size, so that an output that nobody reads holds nothing up.
+//! Log lines and records share one bounded ring, so that a blocked output delays nothing else.
 
 use log::LevelFilter;
 use pinhaven_record::Importance;
@@ -16,14 +16,14 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-/// Level of parts that the settings don't name.
+/// Level of parts without a level in the settings.
 const LEVEL_DEFAULT: LevelFilter = LevelFilter::Info;
-/// How long the end of the process waits for an output that takes its last lines.
+/// Maximum time to wait at exit until the output has accepted the last lines.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
-/// Stack of the thread that writes, in bytes; it only copies lines.
+/// Stack size of the writer thread, in bytes; the thread only copies lines.
 const WRITER_STACK_BYTES: usize = 128 * 1024;
 
-/// The log of this process while it runs.
+/// The process-wide log.
 pub(crate) struct Log {
     ring: Arc<Ring>,
     plain_one_in: u64,
@@ -31,20 +31,20 @@
 }
 
 impl Log {
-    /// What an entry records with.
+    /// Creates a recorder for the entry `instance` that writes to this log.
     pub(crate) fn recorder(&self, instance: &str) -> Recorder {
         Recorder::new(Arc::clone(&self.ring), instance, self.plain_one_in)
     }
 
-    /// Writes what is left, if the output takes it.
+    /// Closes the log and waits until the buffered lines are written, for at most [`FLUSH_TIMEOUT`].
     pub(crate) fn finish(self) {
         self.ring.close();
-        // An output that stands still must not keep the process from ending.
+        // A blocked output must not keep the process from exiting.
         let _ = self.writer_done.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
-/// Starts logging to the standard output.
+/// Starts logging to standard output.
 pub(crate) fn start(settings: &LogSettings) -> Result<Log, String> {
     let ring = Arc::new(Ring::new(settings.ring_bytes));
     let writer_done = start_writer(Arc::clone(&ring)).map_err(|error| error.to_string())?;
@@ -71,7 +71,7 @@
             }
         }));
     for (part, level) in &settings.levels {
-        // The settings' check has seen to it that the level can be parsed.
+        // The settings are validated, so the level can be parsed.
         let level = level.parse().unwrap_or(LEVEL_DEFAULT);
         dispatch = dispatch.level_for(part.clone(), level);
     }
@@ -90,7 +90,7 @@
         .stack_size(WRITER_STACK_BYTES)
         .spawn(move || {
             write_lines(&ring, std::io::stdout());
-            // Nobody may be waiting for this any more.
+            // The receiver may be gone after the timeout.
             let _ = done.send(());
         })?;
     Ok(writer_done)
--- a/crates/pinhaven-command/src/output.rs
+++ b/crates/pinhaven-command/src/output.rs
@@ -1,37 +1,37 @@
-//! Results as a table for people or as JSON for programs.
+//! Prints results as a table or as JSON.
 
 use crate::CommandError;
 use clap::Args;
 use clap::ValueEnum;
 use serde::Serialize;
 
-/// Form of a result.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub(crate) enum Format {
-    /// For people.
+    /// Aligned columns, for reading.
     Table,
-    /// For programs.
+    /// A JSON array, for programs.
     Json,
 }
 
 #[derive(Debug, Args)]
 pub(crate) struct FormatArguments {
-    /// Form of the result.
+    /// Output format.
     #[arg(long, value_enum, default_value_t = Format::Table)]
     format: Format,
 }
 
-/// A result that can be a row of a table.
+/// A result that is printed as a row of a table.
 pub(crate) trait Row: Serialize {
-    /// Heads of the columns.
+    /// Column headers.
     const HEADERS: &'static [&'static str];
 
-    /// The cells.
+    /// Returns the cells in the order of the headers.
     fn cells(&self) -> Vec<String>;
 }
 
 impl FormatArguments {
-    /// Prints rows in the form that was asked for.
+    /// Prints rows to standard output in the selected format.
     pub(crate) fn print<R: Row>(&self, rows: &[R]) -> Result<(), CommandError> {
         match self.format {
             Format::Json => {
--- a/crates/pinhaven-command/src/platform.rs
+++ b/crates/pinhaven-command/src/platform.rs
@@ -1,4 +1,4 @@
-//! What commands need of the platform and of the entries.
+//! Access to the platform and the entries, shared by the commands.
 
 use crate::CommandError;
 use clap::Args;
@@ -16,7 +16,7 @@
 use std::future::Future;
 use std::net::SocketAddr;
 
-/// How long an entry may take to tell its status, in milliseconds.
+/// Timeout of a status request to an entry, in milliseconds.
 const STATUS_TIMEOUT_MS: u64 = 1_000;
 
 #[derive(Debug, Args)]
@@ -24,21 +24,21 @@
     /// Address of the platform's table service.
     #[arg(long, env = "PINHAVEN_TABLE")]
     table: SocketAddr,
-    /// Address of the platform's object store; the table service's if left out.
+    /// Address of the platform's object store; by default the address of the table service.
     #[arg(long, env = "PINHAVEN_OBJECTS")]
     objects: Option<SocketAddr>,
-    /// How long one call to the platform may take, in milliseconds.
+    /// Timeout of one call to the platform, in milliseconds.
     #[arg(long, default_value_t = 2_000)]
     timeout_ms: u64,
 }
 
 impl PlatformArguments {
-    /// A client of the table service.
+    /// Creates a client of the table service.
     pub(crate) fn table(&self) -> HttpTableService {
         HttpTableService::new(self.table, self.timeout_ms)
     }
 
-    /// A client of the object store.
+    /// Creates a client of the object store.
     pub(crate) fn objects(&self) -> HttpObjectStore {
         HttpObjectStore::new(self.objects.unwrap_or(self.table), self.timeout_ms)
     }
@@ -54,26 +54,27 @@
     }
 }
 
-/// The head that a row holds, where nothing can be done without it.
+/// Parses the bundle head in a row. Fails on a row that can't be parsed, since the command can't continue without the
+/// head.
 pub(crate) fn parse_head(row: &Row) -> Result<BundleHead, CommandError> {
     serde_json::from_str(&row.value)
         .map_err(|error| CommandError::new(format!("row {} can't be read: {error}", row.key)))
 }
 
-/// What a row holds; one that can't be read is named and left out.
+/// Parses the value of a row. Prints a note and returns `None` if the row can't be parsed.
 pub(crate) fn parse_or_skip<T: DeserializeOwned>(row: &Row) -> Option<T> {
     serde_json::from_str(&row.value)
-        .inspect_err(|error| eprintln!("note: row {} is left out: {error}", row.key))
+        .inspect_err(|error| eprintln!("note: skipped row {}: {error}", row.key))
         .ok()
 }
 
-/// An entry of the platform's list, with its status if it answers.
+/// An entry listed in the table service, with its status if the entry answered.
 pub(crate) struct ListedEntry {
     pub(crate) row: MemberRow,
     pub(crate) status: Option<InstanceStatus>,
 }
 
-/// The entries of the platform's list, each asked for its status.
+/// Lists the entries in the table service and requests the status of each.
 pub(crate) async fn list_entries(
     table: &HttpTableService,
 ) -> Result<Vec<ListedEntry>, CommandError> {
@@ -98,7 +99,7 @@
     serde_json::from_slice(answer.body()).ok()
 }
 
-/// Runs a command's calls.
+/// Runs a command's calls to completion on the current thread.
 pub(crate) fn run_calls<T>(calls: impl Future<Output = T>) -> T {
     pinhaven_runtime::block_on(calls)
 }
--- a/crates/pinhaven-command/src/report.rs
+++ b/crates/pinhaven-command/src/report.rs
@@ -1,5 +1,5 @@
-//! `pinhaven report`: draws refusals and answers over time, from the records of entries, and names the entries
-//! that are behind at the end of them.
+//! `pinhaven report`: draws refusals and answers over time, from the records of entries, and lists the entries that
+//! serve by an older version at the end of the records.
 
 use crate::CommandError;
 use crate::explain::read_all;
@@ -13,15 +13,15 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// Size of the drawing, in pixels.
+/// Width and height of the drawing, in pixels.
 const SIZE_PX: (u32, u32) = (1_200, 800);
 
 #[derive(Debug, Args)]
 pub(crate) struct ReportArguments {
-    /// Records of entries.
+    /// Record files of entries.
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// File to draw to, SVG.
+    /// SVG file to write.
     #[arg(long, default_value = "report.svg")]
     out: PathBuf,
 }
@@ -29,10 +29,10 @@
 pub(crate) fn run(arguments: &ReportArguments) -> Result<(), CommandError> {
     let (lines, invalid) = read_all(&arguments.files)?;
     if invalid > 0 {
-        eprintln!("{invalid} lines are no records and were passed over");
+        eprintln!("{invalid} lines are no records and were skipped");
     }
     if lines.is_empty() {
-        return Err(CommandError::new("there is no line to draw"));
+        return Err(CommandError::new("the files contain no records to draw"));
     }
     let timeline = Timeline::new(&lines);
     draw(arguments, &timeline).map_err(CommandError::new)?;
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-/// An entry that is behind, for people. Times count from the first line, like those of the marks.
+/// Describes an entry that is behind. Times are relative to the first line, like the times of the marks.
 fn describe_behind(entry: &EntryBehind, start_s: f64) -> String {
     let version =
         |number: Option<u64>| number.map_or("none".to_owned(), |number| number.to_string());
@@ -69,7 +69,7 @@
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-/// A named line of points, one a second.
+/// A named series of points, one per second.
 struct Series<'timeline> {
     name: &'timeline str,
     points: Vec<(f64, f64)>,
@@ -147,7 +147,7 @@
     Ok(())
 }
 
-/// Versions are blue, targets orange, the store red.
+/// Returns the colour of a mark: blue for versions, orange for targets, red for the store.
 fn colour_of(mark: &Mark) -> RGBColor {
     match mark.name.split(' ').next() {
         Some("bundle") => BLUE,
--- a/crates/pinhaven-command/src/settings/check.rs
+++ b/crates/pinhaven-command/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! `pinhaven settings check`: checks settings and names every fault.
+//! `pinhaven settings check`: checks settings and prints every fault.
 
 use crate::CommandError;
 use clap::Args;
@@ -8,7 +8,7 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct CheckArguments {
-    /// File with the settings, JSON with comments.
+    /// Settings file, JSON with comments.
     file: PathBuf,
 }
 
--- a/crates/pinhaven-command/src/settings/mod.rs
+++ b/crates/pinhaven-command/src/settings/mod.rs
@@ -7,7 +7,7 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum SettingsCommand {
-    /// Check settings and name every fault.
+    /// Check settings and print every fault.
     Check(check::CheckArguments),
 }
 
--- a/crates/pinhaven-command/src/targets.rs
+++ b/crates/pinhaven-command/src/targets.rs
@@ -12,7 +12,7 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct TargetsArguments {
-    /// Only this service.
+    /// List the targets of this service only.
     #[arg(long)]
     service: Option<String>,
     #[command(flatten)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,6 +1,6 @@
 //! The `pinhaven` program.
 //!
-//! Everything it does is in the crates; this file only hands over the words of the command line.
+//! Passes the command-line arguments to `pinhaven-command`; all logic is in the crates.
 
 use std::process::ExitCode;
 
