--- a/crates/pinhaven-command/src/bundle/history.rs
+++ b/crates/pinhaven-command/src/bundle/history.rs
@@ -1,17 +1,17 @@
-//! `pinhaven bundle history`: lists the versions and who signed them off.
+//! `pinhaven bundle history`: lists the versions and their signers.
 
 use crate::CommandError;
 use crate::output::FormatArguments;
 use crate::output::Row;
 use crate::platform::PlatformArguments;
-use crate::platform::readable;
-use crate::platform::run as run_calls;
+use crate::platform::parse_or_skip;
+use crate::platform::run_calls;
 use clap::Args;
 use pinhaven_bundle::BundleHead;
 use pinhaven_platform::TableService;
 use serde::Serialize;
 
-/// Start of the rows of the history.
+/// Key prefix of the history rows.
 const HISTORY_PREFIX: &str = "pinhaven/bundle/history/";
 
 #[derive(Debug, Args)]
@@ -30,7 +30,7 @@
 }
 
 impl Row for VersionRow {
-    const HEADS: &'static [&'static str] = &["version", "signed off by", "digest"];
+    const HEADERS: &'static [&'static str] = &["version", "signed off by", "digest"];
 
     fn cells(&self) -> Vec<String> {
         vec![
@@ -46,7 +46,7 @@
     let listed = run_calls(async { table.list(HISTORY_PREFIX).await })?;
     let mut rows = Vec::new();
     for row in listed {
-        let Some(head) = readable::<BundleHead>(&row) else {
+        let Some(head) = parse_or_skip::<BundleHead>(&row) else {
             continue;
         };
         rows.push(VersionRow {
--- a/crates/pinhaven-record/src/behind.rs
+++ b/crates/pinhaven-record/src/behind.rs
@@ -1,55 +1,56 @@
-//! Entries that are behind at the end of their records: another version is in force elsewhere, or they know of
-//! one themselves, and they serve by an older one.
+//! Finds entries that serve by an older configuration version at the end of their records.
 //!
-//! An entry that knows of a version it can't get tells so itself. One that never heard of it tells nothing; it is
-//! found by what the others hold.
+//! The input is record lines of several entries, ordered by time. An entry that knows a newer version and can't fetch
+//! it records `bundle behind` lines. An entry that never learned of the newer version records nothing about it, so it
+//! is found by comparison with the versions in force at the other entries.
 
 use crate::read::ReadLine;
 use std::collections::BTreeMap;
 
-/// Number of a version, as records name it.
+/// Version number as written in records.
 type VersionNumber = u64;
 
-/// An entry that is behind.
+/// An entry that serves by an older version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EntryBehind {
-    /// The entry.
+    /// Instance id of the entry.
     pub instance: String,
-    /// The version in force there; `None` when its records name none.
+    /// Version in force at the entry; `None` if its records name none.
     pub held: Option<VersionNumber>,
-    /// The newest version that it knows of; `None` when it tells of none that it lacks.
+    /// Newest version that the entry knows of and lacks; `None` if it reported none.
     pub known: Option<VersionNumber>,
-    /// The newest version in force at any entry.
+    /// Newest version in force at any entry.
     pub newest: Option<VersionNumber>,
-    /// When it learned of the version that it lacks, or when another entry had it, in seconds since the epoch.
+    /// When the entry learned of the missing version, or else when a newer version was first in force at another entry,
+    /// in seconds since the epoch.
     pub since_s: f64,
-    /// When its last line was recorded, in seconds since the epoch.
+    /// Time of the entry's last line, in seconds since the epoch.
     pub last_line_s: f64,
-    /// Tries that failed since it last put a version in force, as last told.
+    /// Failed fetches since the entry last put a version in force, as last reported.
     pub failed_tries: u64,
-    /// Why the last of them failed; empty when none was told.
+    /// Reason of the last failed fetch; empty if none was reported.
     pub why: String,
 }
 
-/// What the records tell of one entry.
+/// Version state of one entry, built from its records.
 #[derive(Debug, Default)]
 struct EntryVersions {
     held: Option<VersionNumber>,
-    lacks: Option<Lacked>,
+    missing: Option<MissingVersion>,
     last_line_s: f64,
     has_stopped: bool,
 }
 
-/// A version that an entry told it can't get.
+/// A version that an entry reported as known and not fetched.
 #[derive(Debug)]
-struct Lacked {
+struct MissingVersion {
     version: VersionNumber,
     since_s: f64,
     failed_tries: u64,
     why: String,
 }
 
-/// Entries that are behind at the end of lines, which stand in the order of their times.
+/// Returns the entries that are behind at the end of `lines`, which must be ordered by time.
 pub fn entries_behind(lines: &[ReadLine]) -> Vec<EntryBehind> {
     let mut entries: BTreeMap<String, EntryVersions> = BTreeMap::new();
     let mut first_in_force_s: BTreeMap<VersionNumber, f64> = BTreeMap::new();
@@ -58,19 +59,19 @@
         if instance.is_empty() {
             continue;
         }
-        entries.entry(instance).or_default().take(line);
+        entries.entry(instance).or_default().record_line(line);
         if is_event(line, "bundle", "in_force")
             && let Some(version) = version_of(line)
         {
             first_in_force_s.entry(version).or_insert(line.time_s);
         }
     }
-    let in_force = |(instance, entry)| behind(instance, entry, &first_in_force_s);
-    entries.into_iter().filter_map(in_force).collect()
+    let to_entry_behind = |(instance, entry)| entry_behind(instance, entry, &first_in_force_s);
+    entries.into_iter().filter_map(to_entry_behind).collect()
 }
 
 impl EntryVersions {
-    fn take(&mut self, line: &ReadLine) {
+    fn record_line(&mut self, line: &ReadLine) {
         self.last_line_s = line.time_s;
         match (line.part.as_str(), line.event.as_str()) {
             ("entry", "started") => {
@@ -80,31 +81,31 @@
                 };
             }
             ("entry", "stopping" | "stopped") => self.has_stopped = true,
-            ("bundle", "in_force") => self.put_in_force(line),
-            ("bundle", "behind") => self.lack(line),
+            ("bundle", "in_force") => self.record_in_force(line),
+            ("bundle", "behind") => self.record_missing(line),
             _ => {}
         }
     }
 
-    fn put_in_force(&mut self, line: &ReadLine) {
+    fn record_in_force(&mut self, line: &ReadLine) {
         let Some(version) = version_of(line) else {
             return;
         };
         self.held = self.held.max(Some(version));
-        let Some(lacked) = &mut self.lacks else {
+        let Some(missing) = &mut self.missing else {
             return;
         };
-        if lacked.version <= version {
-            self.lacks = None;
+        if missing.version <= version {
+            self.missing = None;
             return;
         }
-        // The entry counts anew from here, too.
-        lacked.since_s = line.time_s;
-        lacked.failed_tries = 0;
-        lacked.why.clear();
+        // The entry itself restarts its count of failed fetches and its time behind at this event.
+        missing.since_s = line.time_s;
+        missing.failed_tries = 0;
+        missing.why.clear();
     }
 
-    fn lack(&mut self, line: &ReadLine) {
+    fn record_missing(&mut self, line: &ReadLine) {
         let Some(version) = version_of(line) else {
             return;
         };
@@ -112,7 +113,7 @@
             return;
         }
         let behind_s = number_of(line, "behind_ms") / 1_000.0;
-        self.lacks = Some(Lacked {
+        self.missing = Some(MissingVersion {
             version,
             since_s: line.time_s - behind_s,
             failed_tries: number_of(line, "tries") as u64,
@@ -121,7 +122,7 @@
     }
 }
 
-fn behind(
+fn entry_behind(
     instance: String,
     entry: EntryVersions,
     first_in_force_s: &BTreeMap<VersionNumber, f64>,
@@ -130,13 +131,13 @@
         .iter()
         .find(|(version, _)| Some(**version) > entry.held);
     let newer_since_s = newer.map(|(_, since_s)| *since_s);
-    let lacked_since_s = entry.lacks.as_ref().map(|lacked| lacked.since_s);
-    let since_s = lacked_since_s.or(newer_since_s)?;
+    let missing_since_s = entry.missing.as_ref().map(|missing| missing.since_s);
+    let since_s = missing_since_s.or(newer_since_s)?;
     if entry.has_stopped {
         return None;
     }
-    let known = entry.lacks.as_ref().map(|lacked| lacked.version);
-    let failed_tries = entry.lacks.as_ref().map(|lacked| lacked.failed_tries);
+    let known = entry.missing.as_ref().map(|missing| missing.version);
+    let failed_tries = entry.missing.as_ref().map(|missing| missing.failed_tries);
     Some(EntryBehind {
         instance,
         held: entry.held,
@@ -145,7 +146,7 @@
         since_s,
         last_line_s: entry.last_line_s,
         failed_tries: failed_tries.unwrap_or_default(),
-        why: entry.lacks.map(|lacked| lacked.why).unwrap_or_default(),
+        why: entry.missing.map(|missing| missing.why).unwrap_or_default(),
     })
 }
 
@@ -157,7 +158,7 @@
     line.text("version").parse().ok()
 }
 
-/// A fact that is a number; 0 if it is not there.
+/// Returns a numeric fact, or 0 if the line has none.
 fn number_of(line: &ReadLine, fact: &str) -> f64 {
     line.text(fact).parse().unwrap_or_default()
 }
--- a/crates/pinhaven-record/src/read.rs
+++ b/crates/pinhaven-record/src/read.rs
@@ -1,23 +1,23 @@
-//! Reading lines of the record back.
+//! Parser for lines of the record.
 
 use serde_json::Map;
 use serde_json::Value;
 
-/// A line that was read.
+/// A parsed line of the record.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReadLine {
-    /// When it happened, in seconds since the epoch by its entry's clock.
+    /// Time of the event in seconds since the epoch, by the entry's clock.
     pub time_s: f64,
-    /// The part that speaks.
+    /// Part of the software that wrote the line.
     pub part: String,
-    /// What happened; empty for a line of plain text.
+    /// Name of the event; empty if the line has none.
     pub event: String,
-    /// All other facts.
+    /// All other facts of the line.
     pub facts: Map<String, Value>,
 }
 
 impl ReadLine {
-    /// A fact as text; empty if it is not there.
+    /// Returns a fact as text, or an empty string if the line has none.
     pub fn text(&self, name: &str) -> String {
         match self.facts.get(name) {
             None | Some(Value::Null) => String::new(),
@@ -27,29 +27,29 @@
     }
 }
 
-/// The lines of a text, and how many of its lines could not be read. What stands before the first
-/// brace of a line, such as a time that a collector added, is passed over.
+/// Parses the lines of `text`. Returns the parsed lines and the number of lines that are no records. Text before the
+/// first brace of a line, such as a timestamp added by a log collector, is ignored.
 pub fn read_lines(text: &str) -> (Vec<ReadLine>, usize) {
-    let mut bad = 0;
+    let mut invalid = 0;
     let mut lines = Vec::new();
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
         match read_line(line) {
-            Some(read) => lines.push(read),
-            None => bad += 1,
+            Some(parsed) => lines.push(parsed),
+            None => invalid += 1,
         }
     }
-    (lines, bad)
+    (lines, invalid)
 }
 
 fn read_line(line: &str) -> Option<ReadLine> {
     let object = &line[line.find('{')?..];
     let mut facts: Map<String, Value> = serde_json::from_str(object).ok()?;
     let time_s = facts.remove("time_s")?.as_f64()?;
-    let mut take = |name: &str| match facts.remove(name) {
+    let mut remove_text = |name: &str| match facts.remove(name) {
         Some(Value::String(text)) => text,
         _ => String::new(),
     };
-    let (part, event) = (take("part"), take("event"));
+    let (part, event) = (remove_text("part"), remove_text("event"));
     Some(ReadLine {
         time_s,
         part,
