--- a/crates/pinhaven-runtime/src/client.rs
+++ b/crates/pinhaven-runtime/src/client.rs
@@ -52,7 +52,7 @@
     Deadline,
 }
 
-/// control call failed while {step} (peer {peer}): {message}
+/// A control call that got no answer: {step} at {peer}: {message}
 #[derive(Debug, DisplayDoc)]
 pub struct CallError {
     /// Step that failed.
@@ -230,7 +230,7 @@
     pub async fn call(&self, request: Request<Bytes>) -> Result<Response<Bytes>, CallError> {
         within(self.total_timeout, self.call_without_total_timeout(request))
             .await
-            .unwrap_or_else(|| Err(self.deadline_error("the answer took too long in total")))
+            .unwrap_or_else(|| Err(self.deadline_error("the answer is too slow")))
     }
 
     /// Makes a call with the timeouts until the head and between chunks, but without the total timeout.
@@ -266,7 +266,7 @@
         let mut whole = BytesMut::new();
         loop {
             let frame = within(self.chunk_timeout, body.frame()).await;
-            let Some(frame) = frame.ok_or_else(|| self.deadline_error("the answer stalled"))?
+            let Some(frame) = frame.ok_or_else(|| self.deadline_error("the answer stopped"))?
             else {
                 return Ok(whole.freeze());
             };
