--- a/crates/pinhaven-platform/src/error.rs
+++ b/crates/pinhaven-platform/src/error.rs
@@ -33,7 +33,7 @@
         /// Address of the platform.
         peer: SocketAddr,
     },
-    /// {step} {key} at {peer}: the call had no effect: {message}
+    /// {step} {key} at {peer}: it took no effect: {message}
     NoEffect {
         /// Step that failed.
         step: PlatformStep,
@@ -44,7 +44,7 @@
         /// Status of the answer, or the cause of the failure.
         message: String,
     },
-    /// {step} {key} at {peer}: the call may have taken effect: {message}
+    /// {step} {key} at {peer}: it may have taken effect: {message}
     Unknown {
         /// Step that failed.
         step: PlatformStep,
