--- a/crates/pinhaven-peer/src/client.rs
+++ b/crates/pinhaven-peer/src/client.rs
@@ -41,7 +41,7 @@
     RelayOnce,
 }
 
-/// {step} failed (peer {peer}): {message}
+/// {step} with the entry at {peer}: {message}
 #[derive(Debug, Clone, DisplayDoc)]
 pub struct PeerError {
     /// Step that failed.
