--- a/crates/pinhaven-lab/src/emulate/world.rs
+++ b/crates/pinhaven-lab/src/emulate/world.rs
@@ -119,7 +119,7 @@
     }
 
     fn plan_at_us(&mut self, at_us: u64, what: What) {
-        self.queue.plan(at_us, what);
+        self.queue.schedule(at_us, what);
     }
 
     fn now(&self) -> Microseconds {
--- a/crates/pinhaven-lab/src/main.rs
+++ b/crates/pinhaven-lab/src/main.rs
@@ -136,7 +136,7 @@
             for plan in plans_of(arguments, change, costs) {
                 let plan = plan.with_transfer(transfer);
                 let names = [name_of(&change), name_of(&transfer)];
-                rows.push(versions::row(names, &plan, &versions::play(&plan)));
+                rows.push(versions::row(names, &plan, &versions::emulate(&plan)));
             }
         }
     }
--- a/crates/pinhaven-lab/src/process.rs
+++ b/crates/pinhaven-lab/src/process.rs
@@ -83,7 +83,7 @@
     }
 
     /// Tells the process that its settings have changed.
-    pub fn tell_changed(&self) {
+    pub fn signal_reload(&self) {
         self.signal(Signal::HUP);
     }
 
--- a/crates/pinhaven-lab/src/queue.rs
+++ b/crates/pinhaven-lab/src/queue.rs
@@ -47,7 +47,7 @@
 
 impl<Event> Queue<Event> {
     /// Plans an event, in microseconds of emulated time.
-    pub(crate) fn plan(&mut self, at_us: u64, event: Event) {
+    pub(crate) fn schedule(&mut self, at_us: u64, event: Event) {
         self.planned += 1;
         let number = self.planned;
         self.events.push(Reverse(Planned {
--- a/crates/pinhaven-lab/src/versions/fetching.rs
+++ b/crates/pinhaven-lab/src/versions/fetching.rs
@@ -66,7 +66,8 @@
             payload: Payload::Ask { call, request },
         });
         let timeout = Event::TimedOut { entry, call };
-        self.queue.plan(self.now_us + PART_TIMEOUT.count(), timeout);
+        self.queue
+            .schedule(self.now_us + PART_TIMEOUT.count(), timeout);
     }
 
     /// Whether an entry waits for the answer to a call.
@@ -122,7 +123,7 @@
     /// Leaves a peer that is busy, and remembers how long to stay away.
     fn wait_for(&mut self, entry: usize, away: Microseconds) {
         let instance = &mut self.instances[entry];
-        instance.sent_away += 1;
+        instance.busy_answers += 1;
         if let Some(asking) = &mut instance.asking {
             // Entries are told whole milliseconds.
             let away = Microseconds::from_ms(away.as_ms().ceil() as u64);
@@ -272,6 +273,6 @@
             entry,
             call: asking.call,
         };
-        self.queue.plan(self.now_us + pause_us as u64, again);
+        self.queue.schedule(self.now_us + pause_us as u64, again);
     }
 }
--- a/crates/pinhaven-lab/src/versions/giving.rs
+++ b/crates/pinhaven-lab/src/versions/giving.rs
@@ -28,7 +28,7 @@
         call: CallNumber,
         request: PartRequest,
     ) {
-        if self.has_fault(|fault| *fault == VersionFault::ClaimsAndIsSilent { entry }) {
+        if self.has_fault(|fault| *fault == VersionFault::AdvertisesButIsSilent { entry }) {
             return;
         }
         let cost_us = self.plan.costs.call_us + self.cost_of_package_us(entry, &request);
@@ -64,7 +64,7 @@
     }
 
     fn claims_only(&self, entry: usize) -> bool {
-        self.has_fault(|fault| *fault == VersionFault::ClaimsAndHasNone { entry })
+        self.has_fault(|fault| *fault == VersionFault::AdvertisesButHasNone { entry })
     }
 
     /// The package that a peer has begun, or else the one that it needs, if it is kept.
@@ -152,7 +152,7 @@
         let kept = self.kept_package(entry, request);
         let made = kept.unwrap_or_else(|| self.make_package(entry, request));
         let reply = self.part_of(entry, request, &made);
-        if self.has_fault(|fault| *fault == VersionFault::PackagesAreForgotten) {
+        if self.has_fault(|fault| *fault == VersionFault::PackagesAreDropped) {
             self.instances[entry].forget_packages();
         }
         reply
--- a/crates/pinhaven-lab/src/versions/instance.rs
+++ b/crates/pinhaven-lab/src/versions/instance.rs
@@ -86,7 +86,7 @@
     pub(super) store_bytes: u64,
     pub(super) store_calls: u64,
     pub(super) failed_tries: u64,
-    pub(super) sent_away: u64,
+    pub(super) busy_answers: u64,
     pub(super) longest_wait: Microseconds,
     pub(super) memory_peak_bytes: u64,
 }
@@ -127,7 +127,7 @@
             store_bytes: 0,
             store_calls: 0,
             failed_tries: 0,
-            sent_away: 0,
+            busy_answers: 0,
             longest_wait: Microseconds::ZERO,
             memory_peak_bytes: 0,
         }
--- a/crates/pinhaven-lab/src/versions/mod.rs
+++ b/crates/pinhaven-lab/src/versions/mod.rs
@@ -33,6 +33,6 @@
 pub use plan::VersionsPlan;
 
 /// Plays a plan.
-pub fn play(plan: &VersionsPlan) -> VersionsOutcome {
+pub fn emulate(plan: &VersionsPlan) -> VersionsOutcome {
     world::World::new(plan).run()
 }
--- a/crates/pinhaven-lab/src/versions/news.rs
+++ b/crates/pinhaven-lab/src/versions/news.rs
@@ -31,7 +31,7 @@
 impl World<'_> {
     pub(super) fn plan_first_round(&mut self, entry: usize) {
         let phase_us = self.random.u64(0..WHOLE_EVERY_US);
-        self.queue.plan(phase_us, Event::NewsRound(entry));
+        self.queue.schedule(phase_us, Event::NewsRound(entry));
     }
 
     /// Tells that an entry lives, and looks whether it speaks with the store.
@@ -47,11 +47,11 @@
         instance.members.advance_heartbeat(instance.held, 0);
         instance.members.remove_silent(now);
         if begins && !instance.waits_for_store {
-            self.queue.plan(self.now_us, Event::AskStore(entry));
+            self.queue.schedule(self.now_us, Event::AskStore(entry));
         }
         self.tell(entry, false);
         self.queue
-            .plan(self.now_us + WHOLE_EVERY_US, Event::NewsRound(entry));
+            .schedule(self.now_us + WHOLE_EVERY_US, Event::NewsRound(entry));
     }
 
     /// Tells which version an entry has; a delegate whose news are urgent tells all.
@@ -114,8 +114,8 @@
     fn rows_to_tell(&mut self, entry: usize) -> Rc<[MemberRow]> {
         let now = self.now();
         let claims = self.has_fault(|fault| match fault {
-            VersionFault::ClaimsAndIsSilent { entry: claims }
-            | VersionFault::ClaimsAndHasNone { entry: claims } => *claims == entry,
+            VersionFault::AdvertisesButIsSilent { entry: claims }
+            | VersionFault::AdvertisesButHasNone { entry: claims } => *claims == entry,
             _ => false,
         });
         let members = &self.instances[entry].members;
@@ -162,7 +162,7 @@
             peer,
             version,
         };
-        self.queue.plan(self.now_us + waits_us, fetch);
+        self.queue.schedule(self.now_us + waits_us, fetch);
     }
 
     /// Fetches a version from the peer that told of it, if it has not come in the meantime.
--- a/crates/pinhaven-lab/src/versions/outcome.rs
+++ b/crates/pinhaven-lab/src/versions/outcome.rs
@@ -24,7 +24,7 @@
     /// Tries to get a version that failed.
     pub failed_tries: u64,
     /// Times that a peer had no room for it.
-    pub sent_away: u64,
+    pub busy_answers: u64,
     /// Longest time for which it knew of a newer version and none came into force.
     pub longest_wait_ms: f64,
 }
@@ -116,7 +116,7 @@
         seconds(0.99),
         seconds(1.0),
         outcome.behind().len().to_string(),
-        format!("{:.0}", outcome.mean(|entry| entry.sent_away as f64)),
+        format!("{:.0}", outcome.mean(|entry| entry.busy_answers as f64)),
         kilobytes(outcome.mean(|entry| entry.peer_bytes as f64)),
         kilobytes(outcome.mean(|entry| entry.store_bytes as f64)),
         format!("{:.1}", outcome.mean(|entry| entry.processor_ms)),
--- a/crates/pinhaven-lab/src/versions/plan.rs
+++ b/crates/pinhaven-lab/src/versions/plan.rs
@@ -27,24 +27,24 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum VersionFault {
     /// An entry dies.
-    Dies {
+    Crashes {
         /// The entry.
         entry: usize,
         /// When, after the first version was acknowledged.
         at_ms: u64,
     },
     /// An entry says that it has each version at once, and answers nobody who asks for it.
-    ClaimsAndIsSilent {
+    AdvertisesButIsSilent {
         /// The entry.
         entry: usize,
     },
     /// An entry says that it has each version at once, and tells who asks that it has none.
-    ClaimsAndHasNone {
+    AdvertisesButHasNone {
         /// The entry.
         entry: usize,
     },
     /// Packages are no longer kept once a part of them was given.
-    PackagesAreForgotten,
+    PackagesAreDropped,
     /// Differences don't lead to the signed version at an entry.
     DifferencesFail {
         /// The entry.
--- a/crates/pinhaven-lab/src/versions/store.rs
+++ b/crates/pinhaven-lab/src/versions/store.rs
@@ -29,7 +29,7 @@
             let instance = &self.instances[entry];
             if instance.is_delegate && !instance.waits_for_store {
                 self.queue
-                    .plan(self.now_us + ANSWER_US, Event::AskStore(entry));
+                    .schedule(self.now_us + ANSWER_US, Event::AskStore(entry));
             }
         }
     }
@@ -85,7 +85,7 @@
         let draw = self.random.f64();
         let pause = self.instances[entry].store_pause.next_delay(0, draw);
         self.queue
-            .plan(self.now_us + pause.count(), Event::AskStore(entry));
+            .schedule(self.now_us + pause.count(), Event::AskStore(entry));
     }
 
     pub(super) fn take_stored(&mut self, entry: usize, version: BundleVersion) {
@@ -119,6 +119,6 @@
         self.put_in_force(entry, version);
         let pause = pause_after_answer(was_there, took);
         let at_us = self.now_us + pause.count();
-        self.queue.plan(at_us, Event::AskStore(entry));
+        self.queue.schedule(at_us, Event::AskStore(entry));
     }
 }
--- a/crates/pinhaven-lab/src/versions/world.rs
+++ b/crates/pinhaven-lab/src/versions/world.rs
@@ -82,12 +82,12 @@
         for index in 0..self.acknowledged() {
             let version = BundleVersion::new(FIRST_VERSION.number() + 1 + index);
             let at_us = FIRST_ACKNOWLEDGED_US + index * self.plan.gap_ms * 1_000;
-            self.queue.plan(at_us, Event::Acknowledged(version));
+            self.queue.schedule(at_us, Event::Acknowledged(version));
         }
         for fault in &self.plan.faults {
-            if let VersionFault::Dies { entry, at_ms } = fault {
+            if let VersionFault::Crashes { entry, at_ms } = fault {
                 let at_us = FIRST_ACKNOWLEDGED_US + at_ms * 1_000;
-                self.queue.plan(at_us, Event::Dies(*entry));
+                self.queue.schedule(at_us, Event::Dies(*entry));
             }
         }
     }
@@ -140,7 +140,7 @@
     /// Time after the last acknowledgement until all entries that die are dead.
     fn faults_end_us(&self) -> u64 {
         let dies_ms = self.plan.faults.iter().map(|fault| match fault {
-            VersionFault::Dies { at_ms, .. } => *at_ms,
+            VersionFault::Crashes { at_ms, .. } => *at_ms,
             _ => 0,
         });
         dies_ms.max().unwrap_or_default() * 1_000
@@ -162,7 +162,7 @@
             memory_peak_bytes: instance.memory_peak_bytes,
             store_calls: instance.store_calls,
             failed_tries: instance.failed_tries,
-            sent_away: instance.sent_away,
+            busy_answers: instance.busy_answers,
             longest_wait_ms: instance.longest_wait.as_ms(),
         });
         VersionsOutcome {
@@ -201,7 +201,7 @@
     /// Lets the processor of an entry work.
     pub(super) fn work(&mut self, entry: usize, cost_us: u64, work: Work) {
         let done_us = self.instances[entry].processor.work(cost_us, self.now_us);
-        self.queue.plan(done_us, Event::Worked { entry, work });
+        self.queue.schedule(done_us, Event::Worked { entry, work });
     }
 
     fn worked(&mut self, entry: usize, work: Work) {
@@ -228,7 +228,7 @@
             End::Entry(entry) => self.instances[entry].link.carry(message.bytes, self.now_us),
         };
         self.queue
-            .plan(sent_us + LATENCY_US, Event::Reaches(message));
+            .schedule(sent_us + LATENCY_US, Event::Reaches(message));
     }
 
     fn reach(&mut self, message: Message) {
@@ -238,7 +238,7 @@
         let received_us = self.instances[message.to]
             .link
             .carry(message.bytes, self.now_us);
-        self.queue.plan(received_us, Event::Received(message));
+        self.queue.schedule(received_us, Event::Received(message));
     }
 
     /// Segments are sent again until they are there; whole calls and datagrams are lost.
--- a/crates/pinhaven-lab/tests/stopping.rs
+++ b/crates/pinhaven-lab/tests/stopping.rs
@@ -49,7 +49,7 @@
         let calls = call(&lab, 1_500, |settings| settings.rate_per_s = 100.0).await;
         for _ in 0..10 {
             for index in 0..3 {
-                lab.entry(index).tell_changed();
+                lab.entry(index).signal_reload();
             }
             sleep_ms(50).await;
         }
--- a/crates/pinhaven-lab/tests/versions.rs
+++ b/crates/pinhaven-lab/tests/versions.rs
@@ -6,7 +6,7 @@
 use pinhaven_lab::versions::VersionFault;
 use pinhaven_lab::versions::VersionsOutcome;
 use pinhaven_lab::versions::VersionsPlan;
-use pinhaven_lab::versions::play;
+use pinhaven_lab::versions::emulate;
 
 const ENTRIES: usize = 30;
 const ROUTES: usize = 1_000;
@@ -24,7 +24,7 @@
 
 /// Plays a plan and checks that all living entries have the last version.
 fn play_until_all_have_it(name: &str, plan: &VersionsPlan) -> VersionsOutcome {
-    let outcome = play(plan);
+    let outcome = emulate(plan);
     let behind = outcome.behind();
     let last_ms = outcome.in_force_ms(1.0);
     println!(
@@ -49,7 +49,7 @@
 #[test]
 fn a_seed_gives_the_same_outcome_each_time() {
     let plan = plan(VersionChange::AddRoutes, 5);
-    assert_eq!(play(&plan), play(&plan));
+    assert_eq!(emulate(&plan), emulate(&plan));
 }
 
 #[test]
@@ -70,7 +70,7 @@
 #[test]
 fn a_version_that_must_come_whole_within_a_second_never_comes() {
     let large = VersionsPlan::new(ENTRIES, 8_000, VersionChange::AddRoutes, 1);
-    let before = play(&large.clone().with_transfer(Transfer::WholeInASecond));
+    let before = emulate(&large.clone().with_transfer(Transfer::WholeInASecond));
     assert!(!before.behind().is_empty());
     play_until_all_have_it("large", &large);
 }
@@ -79,13 +79,13 @@
 fn holders_that_die_in_the_middle_are_replaced() {
     for seed in SEEDS {
         let calm_plan = VersionsPlan::new(ENTRIES, ROUTES_OF_PARTS, VersionChange::AddRoutes, seed);
-        let calm = play(&calm_plan);
+        let calm = emulate(&calm_plan);
         let mut failed_tries = 0;
         for after_ms in [10, 300, 900] {
             let mut plan = calm_plan.clone();
             for entry in delegates(&calm) {
                 let at_ms = calm.entries[entry].in_force_ms.unwrap() as u64 + after_ms;
-                plan = plan.with_fault(VersionFault::Dies { entry, at_ms });
+                plan = plan.with_fault(VersionFault::Crashes { entry, at_ms });
             }
             let outcome = play_until_all_have_it("delegates die", &plan);
             let dead = outcome.entries.iter().filter(|entry| !entry.is_alive);
@@ -104,7 +104,10 @@
         let plan = VersionsPlan::new(2 * ENTRIES, 10_000, VersionChange::AddRoutes, seed)
             .with_fault(VersionFault::StoreAnswersOne { until_ms });
         let outcome = play_until_all_have_it("one holder", &plan);
-        let sent_away = outcome.entries.iter().filter(|entry| entry.sent_away > 0);
+        let sent_away = outcome
+            .entries
+            .iter()
+            .filter(|entry| entry.busy_answers > 0);
         let sent_away = sent_away.count();
         assert!(
             sent_away * 2 > outcome.entries.len(),
@@ -185,8 +188,8 @@
             let mut silent = plan(change, seed);
             let mut empty = plan(change, seed);
             for entry in (0..ENTRIES).step_by(4) {
-                silent = silent.with_fault(VersionFault::ClaimsAndIsSilent { entry });
-                empty = empty.with_fault(VersionFault::ClaimsAndHasNone { entry });
+                silent = silent.with_fault(VersionFault::AdvertisesButIsSilent { entry });
+                empty = empty.with_fault(VersionFault::AdvertisesButHasNone { entry });
             }
             let outcome = play_until_all_have_it("claims and is silent", &silent);
             assert!(outcome.entries.iter().any(|entry| entry.failed_tries > 0));
@@ -199,11 +202,11 @@
 fn packages_that_are_no_longer_kept_are_made_again() {
     for seed in SEEDS {
         let plan = VersionsPlan::new(ENTRIES, ROUTES_OF_PARTS, VersionChange::AddRoutes, seed)
-            .with_fault(VersionFault::PackagesAreForgotten);
+            .with_fault(VersionFault::PackagesAreDropped);
         play_until_all_have_it("packages forgotten", &plan);
     }
     let plan = plan(VersionChange::AddRoutes, SEEDS[0]).with_versions(5, 400);
-    let plan = plan.with_fault(VersionFault::PackagesAreForgotten);
+    let plan = plan.with_fault(VersionFault::PackagesAreDropped);
     play_until_all_have_it("packages forgotten, storm", &plan);
 }
 
@@ -241,13 +244,13 @@
         let mut plan = plan(VersionChange::AddRoutes, seed)
             .with_versions(4, 600)
             .with_fault(VersionFault::CallsAreLost { share: 0.1 })
-            .with_fault(VersionFault::PackagesAreForgotten)
+            .with_fault(VersionFault::PackagesAreDropped)
             .with_fault(VersionFault::StoreAnswersOne { until_ms: 8_000 });
         for entry in (0..ENTRIES).step_by(6) {
             plan = plan
                 .with_fault(VersionFault::DifferencesFail { entry: entry + 1 })
-                .with_fault(VersionFault::ClaimsAndIsSilent { entry: entry + 2 })
-                .with_fault(VersionFault::Dies {
+                .with_fault(VersionFault::AdvertisesButIsSilent { entry: entry + 2 })
+                .with_fault(VersionFault::Crashes {
                     entry: entry + 3,
                     at_ms: 1_500,
                 });
