--- a/crates/pinhaven-lab/src/check.rs
+++ b/crates/pinhaven-lab/src/check.rs
@@ -5,8 +5,8 @@
 
 /// The faults found in what callers were told; none if all is well.
 ///
-/// Every answer was whole and its caller's own; every once-only request that was said to have run ran
-/// once, every one that was said not to have run did not, and no other ran more than once.
+/// Every answer was whole and its caller's own; every once-only request that was reported to have run ran
+/// once, every one that was reported not to have run did not, and no other ran more than once.
 pub async fn faults_of_report(lab: &Lab, service: usize, report: &CallerReport) -> Vec<String> {
     let mut faults = Vec::new();
     for (kind, class) in [("repeatable", &report.repeatable), ("once", &report.once)] {
@@ -21,15 +21,17 @@
         }
     }
     let runs = lab.runs(service).await;
-    for (key, said) in &report.once_said {
+    for (key, reported) in &report.once_said {
         let count = runs.get(key).copied().unwrap_or_default();
-        let is_right = match said.as_str() {
+        let is_right = match reported.as_str() {
             "run" => count == 1,
             "not-run" => count == 0,
             _ => count <= 1,
         };
         if !is_right {
-            faults.push(format!("{key} was said to be {said} and ran {count} times"));
+            faults.push(format!(
+                "{key} was reported to be {reported} and ran {count} times"
+            ));
         }
     }
     for (key, count) in runs {
--- a/crates/pinhaven-lab/src/demo.rs
+++ b/crates/pinhaven-lab/src/demo.rs
@@ -80,9 +80,9 @@
 /// Whether every once-only request ran as often as its caller was told.
 async fn ran_once(lab: &Lab, service: usize, report: &CallerReport) -> bool {
     let runs = lab.runs(service).await;
-    report.once_said.iter().all(|(key, said)| {
+    report.once_said.iter().all(|(key, reported)| {
         let count = runs.get(key).copied().unwrap_or_default();
-        match said.as_str() {
+        match reported.as_str() {
             "run" => count == 1,
             "not-run" => count == 0,
             _ => count <= 1,
--- a/crates/pinhaven-lab/src/lab/entries.rs
+++ b/crates/pinhaven-lab/src/lab/entries.rs
@@ -59,7 +59,7 @@
     pub(super) fn start_entry_process(
         &mut self,
         index: usize,
-        more: &Value,
+        overrides: &Value,
     ) -> Result<(), LabError> {
         let name = Self::entry_name(index);
         let domain = &self.plan.domains[index % self.plan.domains.len()];
@@ -74,7 +74,7 @@
             "head_poll_ms": 200,
             "gossip_ms": 200,
         });
-        for fields in [&self.plan.settings, more] {
+        for fields in [&self.plan.settings, overrides] {
             if let (Some(all), Some(fields)) = (settings.as_object_mut(), fields.as_object()) {
                 all.extend(fields.clone());
             }
@@ -122,8 +122,8 @@
 
     /// Memory of the entry that holds most, in millions of bytes.
     pub fn entry_memory_mb(&self) -> f64 {
-        let most = self.entry_processes().map(Process::memory_bytes).max();
-        most.unwrap_or_default() as f64 / 1e6
+        let memory_max = self.entry_processes().map(Process::memory_bytes).max();
+        memory_max.unwrap_or_default() as f64 / 1e6
     }
 
     /// Kills the entry with an index and forgets it.
--- a/crates/pinhaven-lab/src/lab/observe.rs
+++ b/crates/pinhaven-lab/src/lab/observe.rs
@@ -20,9 +20,9 @@
 use std::time::Instant;
 
 /// How long a lab waits for something to come about.
-const WAIT_MOST: Duration = Duration::from_secs(30);
+const WAIT_MAX: Duration = Duration::from_secs(30);
 /// How often it looks, in milliseconds.
-const LOOK_MS: u64 = 20;
+const POLL_MS: u64 = 20;
 /// How long a call to a process may take, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 5_000;
 
@@ -85,8 +85,8 @@
         let mut statuses = Vec::new();
         for row in self.rows().await {
             let status: Option<InstanceStatus> = get(row.peer_address, "/status").await;
-            let is_same = |s: &InstanceStatus| s.own.incarnation == row.incarnation;
-            statuses.extend(status.filter(is_same));
+            let is_same_run = |s: &InstanceStatus| s.own.incarnation == row.incarnation;
+            statuses.extend(status.filter(is_same_run));
         }
         statuses
     }
@@ -122,10 +122,10 @@
         let version = self.version;
         self.wait_for("the version to be in force", async || {
             let statuses = self.statuses().await;
-            let with_it = statuses
+            let in_force = statuses
                 .iter()
                 .filter(|status| status.own.version.number() >= version);
-            with_it.count() >= count
+            in_force.count() >= count
         })
         .await
     }
@@ -162,11 +162,11 @@
         mut holds: impl AsyncFnMut() -> bool,
     ) -> Result<(), LabError> {
         let began = Instant::now();
-        while began.elapsed() < WAIT_MOST {
+        while began.elapsed() < WAIT_MAX {
             if holds().await {
                 return Ok(());
             }
-            sleep_ms(LOOK_MS).await;
+            sleep_ms(POLL_MS).await;
         }
         Err(LabError::new(format!(
             "waiting for {what} took too long; see the logs in {}",
--- a/crates/pinhaven-lab/src/main.rs
+++ b/crates/pinhaven-lab/src/main.rs
@@ -63,7 +63,7 @@
         /// Load, as a share of what all slots of the targets that are not slow do.
         #[arg(long)]
         load: Option<f64>,
-        /// Age of a report at which a target is asked, in milliseconds; 0 for never.
+        /// Age of a report at which a target is probed, in milliseconds; 0 for never.
         #[arg(long)]
         probe_ms: Option<f64>,
         /// Time between two rounds of news, in milliseconds.
@@ -123,7 +123,7 @@
     seed: u64,
 }
 
-/// Plays all combinations that were asked for and prints them.
+/// Plays all combinations of the arguments and prints them.
 fn print_versions(arguments: &VersionsArguments) {
     let costs = match arguments.measure_costs {
         true => Costs::measure(),
@@ -131,9 +131,9 @@
     };
     println!("Costs on a whole core, {costs}.");
     let mut rows = Vec::new();
-    for change in chosen(&arguments.change) {
-        for transfer in chosen(&arguments.transfer) {
-            for plan in plans_of(arguments, change, costs) {
+    for change in selected(&arguments.change) {
+        for transfer in selected(&arguments.transfer) {
+            for plan in plans_for_sizes(arguments, change, costs) {
                 let plan = plan.with_transfer(transfer);
                 let names = [name_of(&change), name_of(&transfer)];
                 rows.push(versions::row(names, &plan, &versions::emulate(&plan)));
@@ -143,8 +143,8 @@
     pinhaven_lab::print_table(&versions::HEADS, &rows);
 }
 
-/// The plans of all sizes that were asked for.
-fn plans_of(
+/// The plans of all sizes of the arguments.
+fn plans_for_sizes(
     arguments: &VersionsArguments,
     change: VersionChange,
     costs: Costs,
@@ -165,11 +165,11 @@
     plans
 }
 
-/// What was asked for, or all there is.
-fn chosen<T: ValueEnum>(asked: &[T]) -> Vec<T> {
-    match asked.is_empty() {
+/// The given values, or all values of the type if none is given.
+fn selected<T: ValueEnum>(values: &[T]) -> Vec<T> {
+    match values.is_empty() {
         true => T::value_variants().to_vec(),
-        false => asked.to_vec(),
+        false => values.to_vec(),
     }
 }
 
@@ -184,11 +184,14 @@
     for step in &report.steps {
         println!("  {step}");
     }
-    for (name, told) in [
+    for (name, callers) in [
         ("with a home", &report.with_home),
         ("without a home", &report.without_home),
     ] {
-        println!("Callers {name}: {:?} {:?}", told.repeatable, told.once);
+        println!(
+            "Callers {name}: {:?} {:?}",
+            callers.repeatable, callers.once
+        );
     }
     for fault in &report.faults {
         println!("FAULT: {fault}");
@@ -197,7 +200,7 @@
     report.faults.is_empty()
 }
 
-/// Plays all combinations that were asked for and prints them; whether all policies have names.
+/// Plays all combinations of the arguments and prints them; whether all policies have names.
 fn print_emulations(
     days: &[Day],
     deployment: Option<Deployment>,
@@ -206,22 +209,22 @@
     change: impl Fn(&mut EmulationPlan),
 ) -> bool {
     let mut rows = Vec::new();
-    for of in Deployment::value_variants()
+    for candidate in Deployment::value_variants()
         .iter()
-        .filter(|of| deployment.is_none_or(|d| d == **of))
+        .filter(|candidate| deployment.is_none_or(|only| only == **candidate))
     {
         for day in Day::value_variants()
             .iter()
             .filter(|day| days.is_empty() || days.contains(day))
         {
             for policy in policies {
-                let Ok(known) = serde_json::from_value(serde_json::json!(policy)) else {
+                let Ok(parsed_policy) = serde_json::from_value(serde_json::json!(policy)) else {
                     eprintln!("There is no policy {policy:?}; see docs/INTERFACES.md.");
                     return false;
                 };
-                let mut plan = EmulationPlan::new(*of, *day, known, seed);
+                let mut plan = EmulationPlan::new(*candidate, *day, parsed_policy, seed);
                 change(&mut plan);
-                let names = [name_of(of), name_of(day), policy.clone()];
+                let names = [name_of(candidate), name_of(day), policy.clone()];
                 rows.push(emulate::row(names, &emulate::emulate(&plan)));
             }
         }
--- a/crates/pinhaven-lab/src/process.rs
+++ b/crates/pinhaven-lab/src/process.rs
@@ -17,7 +17,7 @@
 /// Clock ticks a second in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
 /// How often an ending process is looked at, in milliseconds.
-const LOOK_MS: u64 = 10;
+const POLL_MS: u64 = 10;
 /// Bytes of a memory page.
 const PAGE_BYTES: u64 = 4096;
 
@@ -93,13 +93,13 @@
     }
 
     /// Waits for the process to end by itself; whether it did, and well.
-    pub async fn wait(&mut self, most: Duration) -> Option<bool> {
+    pub async fn wait(&mut self, wait_max: Duration) -> Option<bool> {
         let began = Instant::now();
-        while began.elapsed() < most {
+        while began.elapsed() < wait_max {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Some(status.success());
             }
-            sleep_ms(LOOK_MS).await;
+            sleep_ms(POLL_MS).await;
         }
         None
     }
--- a/crates/pinhaven-lab/src/queue.rs
+++ b/crates/pinhaven-lab/src/queue.rs
@@ -4,27 +4,27 @@
 use std::collections::BinaryHeap;
 
 /// An event and its time; those of one time come in the order in which they were planned.
-struct Planned<Event> {
+struct Scheduled<Event> {
     at_us: u64,
     number: u64,
     event: Event,
 }
 
-impl<Event> PartialEq for Planned<Event> {
+impl<Event> PartialEq for Scheduled<Event> {
     fn eq(&self, other: &Self) -> bool {
         (self.at_us, self.number) == (other.at_us, other.number)
     }
 }
 
-impl<Event> Eq for Planned<Event> {}
+impl<Event> Eq for Scheduled<Event> {}
 
-impl<Event> PartialOrd for Planned<Event> {
+impl<Event> PartialOrd for Scheduled<Event> {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<Event> Ord for Planned<Event> {
+impl<Event> Ord for Scheduled<Event> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at_us, self.number).cmp(&(other.at_us, other.number))
     }
@@ -32,15 +32,15 @@
 
 /// All events that are planned.
 pub(crate) struct Queue<Event> {
-    events: BinaryHeap<Reverse<Planned<Event>>>,
-    planned: u64,
+    events: BinaryHeap<Reverse<Scheduled<Event>>>,
+    scheduled: u64,
 }
 
 impl<Event> Default for Queue<Event> {
     fn default() -> Self {
         Self {
             events: BinaryHeap::new(),
-            planned: 0,
+            scheduled: 0,
         }
     }
 }
@@ -48,9 +48,9 @@
 impl<Event> Queue<Event> {
     /// Plans an event, in microseconds of emulated time.
     pub(crate) fn schedule(&mut self, at_us: u64, event: Event) {
-        self.planned += 1;
-        let number = self.planned;
-        self.events.push(Reverse(Planned {
+        self.scheduled += 1;
+        let number = self.scheduled;
+        self.events.push(Reverse(Scheduled {
             at_us,
             number,
             event,
--- a/crates/pinhaven-lab/src/soak.rs
+++ b/crates/pinhaven-lab/src/soak.rs
@@ -31,7 +31,7 @@
 /// Share of requests that may not be repeated, in percent.
 const ONCE_PERCENT: u8 = 50;
 /// How long a planned stop may take.
-const STOP_MOST: Duration = Duration::from_secs(20);
+const STOP_MAX: Duration = Duration::from_secs(20);
 /// Time of the last, quiet part, in milliseconds.
 const QUIET_MS: u64 = 2_000;
 
@@ -75,11 +75,11 @@
     };
     for _ in 0..duration_ms / STEP_MS {
         soak.step().await;
-        soak.look_at_versions().await;
+        soak.check_versions().await;
         sleep_ms(STEP_MS).await;
     }
     let [with_home, without_home] = callers;
-    soak.put_right().await;
+    soak.recover().await;
     soak.report.with_home = with_home.await;
     soak.report.without_home = without_home.await;
     soak.finish().await;
@@ -109,49 +109,49 @@
             0 => self.kill(index),
             1 => self.pause(index),
             2 => self.stop(index).await,
-            3..=5 => self.bring_back(index),
-            6 => self.break_platform().await,
-            7 => self.mend_platform().await,
+            3..=5 => self.restore_entry(index),
+            6 => self.set_platform_faults().await,
+            7 => self.clear_platform_faults().await,
             8 => self.roll(),
-            9 => self.race(),
-            10 => self.break_target().await,
-            _ => self.mend_targets().await,
+            9 => self.roll_concurrently(),
+            10 => self.set_target_faults().await,
+            _ => self.clear_target_faults().await,
         }
     }
 
-    fn note(&mut self, what: String) {
-        self.report.steps.push(what);
+    fn record_step(&mut self, step: String) {
+        self.report.steps.push(step);
     }
 
     /// One entry at least is left running.
-    fn may_lose_one(&self) -> bool {
+    fn can_lose_entry(&self) -> bool {
         let running = self.entries.iter().filter(|e| **e == EntryState::Running);
         running.count() > 1
     }
 
     fn kill(&mut self, index: usize) {
-        if self.may_lose_one() {
-            self.note(format!("kill entry {index}"));
+        if self.can_lose_entry() {
+            self.record_step(format!("kill entry {index}"));
             self.lab.kill_entry(index);
             self.entries[index] = EntryState::Dead;
         }
     }
 
     fn pause(&mut self, index: usize) {
-        if self.entries[index] == EntryState::Running && self.may_lose_one() {
-            self.note(format!("pause entry {index}"));
+        if self.entries[index] == EntryState::Running && self.can_lose_entry() {
+            self.record_step(format!("pause entry {index}"));
             self.lab.entry(index).pause();
             self.entries[index] = EntryState::Paused;
         }
     }
 
     async fn stop(&mut self, index: usize) {
-        if self.entries[index] == EntryState::Running && self.may_lose_one() {
-            self.note(format!("stop entry {index} as planned"));
+        if self.entries[index] == EntryState::Running && self.can_lose_entry() {
+            self.record_step(format!("stop entry {index} as planned"));
             self.lab.entry(index).terminate();
-            let ended = self.lab.entry(index).wait(STOP_MOST).await;
-            if ended != Some(true) {
-                let fault = format!("the planned stop of entry {index} ended as {ended:?}");
+            let exit = self.lab.entry(index).wait(STOP_MAX).await;
+            if exit != Some(true) {
+                let fault = format!("the planned stop of entry {index} ended as {exit:?}");
                 self.report.faults.push(fault);
             }
             self.lab.kill_entry(index);
@@ -159,7 +159,7 @@
         }
     }
 
-    fn bring_back(&mut self, index: usize) {
+    fn restore_entry(&mut self, index: usize) {
         match self.entries[index] {
             EntryState::Running => return,
             EntryState::Paused => self.lab.entry(index).resume(),
@@ -170,11 +170,11 @@
                 self.versions_seen[index] = 0;
             }
         }
-        self.note(format!("bring entry {index} back"));
+        self.record_step(format!("bring entry {index} back"));
         self.entries[index] = EntryState::Running;
     }
 
-    async fn break_platform(&mut self) {
+    async fn set_platform_faults(&mut self) {
         let faults = match self.random.u8(0..5) {
             0 => PlatformFaults {
                 table_down: true,
@@ -199,40 +199,40 @@
                 ..PlatformFaults::default()
             },
         };
-        self.note(format!("platform: {faults:?}"));
+        self.record_step(format!("platform: {faults:?}"));
         self.lab.set_platform_faults(&faults).await;
     }
 
-    async fn mend_platform(&mut self) {
-        self.note("platform: well".to_owned());
+    async fn clear_platform_faults(&mut self) {
+        self.record_step("platform: well".to_owned());
         self.lab
             .set_platform_faults(&PlatformFaults::default())
             .await;
     }
 
     fn roll(&mut self) {
-        let bundle = self.changed_bundle();
+        let bundle = self.bundle_with_new_deadline();
         let outcome = self.lab.roll(&bundle);
-        self.note(format!("roll version {}: {outcome:?}", bundle["version"]));
-        self.follow_head();
+        self.record_step(format!("roll version {}: {outcome:?}", bundle["version"]));
+        self.refresh_version();
     }
 
     /// Two operators roll the same version; one at the most may win.
-    fn race(&mut self) {
+    fn roll_concurrently(&mut self) {
         let mut won = 0;
         for _ in 0..2 {
-            let bundle = self.changed_bundle();
+            let bundle = self.bundle_with_new_deadline();
             let signed = self.lab.sign(&bundle, "operator");
             won += u32::from(signed.is_ok_and(|file| self.lab.roll_signed(&file).is_ok()));
         }
         if won > 1 {
             self.report.faults.push("both operators won".to_owned());
         }
-        self.note(format!("race: {won} won"));
-        self.follow_head();
+        self.record_step(format!("race: {won} won"));
+        self.refresh_version();
     }
 
-    fn changed_bundle(&mut self) -> serde_json::Value {
+    fn bundle_with_new_deadline(&mut self) -> serde_json::Value {
         let mut bundle = self.lab.bundle();
         let deadline_ms = self.random.u64(900..1_100);
         bundle["services"][0]["deadline_ms"] = json!(deadline_ms);
@@ -240,7 +240,7 @@
     }
 
     /// Takes the version over that the platform has, as a roll may have taken effect unseen.
-    fn follow_head(&mut self) {
+    fn refresh_version(&mut self) {
         let history = self.lab.command(&["bundle", "status", "--format", "json"]);
         let rows: serde_json::Value =
             serde_json::from_str(&history.unwrap_or_default()).unwrap_or_default();
@@ -249,7 +249,7 @@
         }
     }
 
-    async fn break_target(&mut self) {
+    async fn set_target_faults(&mut self) {
         let target = self.lab.targets(0)[self.random.usize(..TARGETS as usize)];
         let mut faults = TargetFaults::default();
         match self.random.u8(0..6) {
@@ -260,12 +260,12 @@
             4 => faults.queue_most = 1,
             _ => faults.lying = true,
         }
-        self.note(format!("target {target}: {faults:?}"));
+        self.record_step(format!("target {target}: {faults:?}"));
         self.lab.set_target_faults(target, &faults).await;
     }
 
-    async fn mend_targets(&mut self) {
-        self.note("targets: well".to_owned());
+    async fn clear_target_faults(&mut self) {
+        self.record_step("targets: well".to_owned());
         for target in self.lab.targets(0).to_vec() {
             self.lab
                 .set_target_faults(target, &TargetFaults::default())
@@ -274,7 +274,7 @@
     }
 
     /// No run of an entry may go back to an older version.
-    async fn look_at_versions(&mut self) {
+    async fn check_versions(&mut self) {
         for index in 0..ENTRIES {
             if self.entries[index] != EntryState::Running {
                 continue;
@@ -292,17 +292,17 @@
         }
     }
 
-    async fn put_right(&mut self) {
-        self.mend_platform().await;
-        self.mend_targets().await;
+    async fn recover(&mut self) {
+        self.clear_platform_faults().await;
+        self.clear_target_faults().await;
         for index in 0..ENTRIES {
-            self.bring_back(index);
+            self.restore_entry(index);
         }
     }
 
     /// After the faults everything serves again, and nothing that was said was wrong.
     async fn finish(&mut self) {
-        self.follow_head();
+        self.refresh_version();
         let outcomes = [
             self.lab.wait_until_ready().await,
             self.lab.wait_until_in_force().await,
--- a/crates/pinhaven-lab/src/versions/costs.rs
+++ b/crates/pinhaven-lab/src/versions/costs.rs
@@ -3,7 +3,7 @@
 //! Measured in this process on bundles like those of the run, so that emulated entries are charged what real
 //! ones pay. Not measured: tables that an entry builds from a version for its own use.
 
-use crate::versions::history::generated;
+use crate::versions::history::generate_bundle;
 use crate::versions::history::head_of;
 use pinhaven_bundle::BundleDelta;
 use pinhaven_bundle::BundlePackage;
@@ -20,7 +20,7 @@
 const RUNS: usize = 5;
 /// Bundles that are held at once to measure the memory of one. As many before them fill what is free in the
 /// process already.
-const HELD: usize = 16;
+const COPIES: usize = 16;
 /// Bytes of a page of memory, as the kernel counts them.
 const PAGE_BYTES: u64 = 4_096;
 
@@ -62,14 +62,14 @@
 impl Costs {
     /// Measures all steps.
     pub fn measure() -> Self {
-        let before = CanonicalBundle::new(generated(BundleVersion::new(1), 0, ROUTES));
-        let filling = vec![before.clone(); HELD];
+        let before = CanonicalBundle::new(generate_bundle(BundleVersion::new(1), 0, ROUTES));
+        let filler = vec![before.clone(); COPIES];
         let memory_before = resident_bytes();
-        let held = vec![before.clone(); HELD];
-        let held_bytes = resident_bytes().saturating_sub(memory_before) / (HELD * ROUTES) as u64;
-        drop((filling, held));
-        let after = CanonicalBundle::new(generated(BundleVersion::new(2), 1, ROUTES));
-        let none = CanonicalBundle::new(generated(BundleVersion::new(1), 0, 0));
+        let held = vec![before.clone(); COPIES];
+        let held_bytes = resident_bytes().saturating_sub(memory_before) / (COPIES * ROUTES) as u64;
+        drop((filler, held));
+        let after = CanonicalBundle::new(generate_bundle(BundleVersion::new(2), 1, ROUTES));
+        let none = CanonicalBundle::new(generate_bundle(BundleVersion::new(1), 0, 0));
         let delta = BundleDelta::between(before.bundle(), after.bundle());
         let large = BundleDelta::between(none.bundle(), before.bundle());
         let head = head_of(&after);
@@ -77,21 +77,21 @@
         let bytes = package.map(|package| package.bytes().to_vec());
         let bytes = bytes.unwrap_or_default();
         Self {
-            read_ns: a_route(|| CanonicalBundle::from_bytes(before.bytes()).is_ok()),
-            pack_ns: a_route(|| {
+            read_ns: ns_per_route(|| CanonicalBundle::from_bytes(before.bytes()).is_ok()),
+            pack_ns: ns_per_route(|| {
                 BundlePackage::with_differences(&head, std::slice::from_ref(&large)).is_ok()
             }),
-            unpack_ns: a_route(|| {
+            unpack_ns: ns_per_route(|| {
                 let unpacked = BundlePackage::unpack(&bytes);
                 unpacked.is_ok_and(|unpacked| {
                     matches!(unpacked.content, PackageContent::Differences(_))
                 })
             }),
-            apply_ns: a_route(|| {
+            apply_ns: ns_per_route(|| {
                 let applied = delta.clone().apply(before.bundle(), after.digest());
                 applied.is_ok()
             }),
-            difference_ns: a_route(|| {
+            difference_ns: ns_per_route(|| {
                 BundleDelta::between(before.bundle(), after.bundle()).size() > 0
             }),
             call_us: Self::default().call_us,
@@ -117,7 +117,7 @@
 }
 
 /// The median time of a step on all routes, by route.
-fn a_route(step: impl Fn() -> bool) -> u64 {
+fn ns_per_route(step: impl Fn() -> bool) -> u64 {
     let mut times_ns: Vec<u64> = (0..RUNS).map(|_| time_ns(&step)).collect();
     times_ns.sort_unstable();
     times_ns[RUNS / 2] / ROUTES as u64
@@ -125,14 +125,14 @@
 
 fn time_ns(step: impl Fn() -> bool) -> u64 {
     let started = Instant::now();
-    let worked = black_box(step());
-    assert!(worked, "a step that is measured must work");
+    let has_succeeded = black_box(step());
+    assert!(has_succeeded, "a step that is measured must work");
     started.elapsed().as_nanos() as u64
 }
 
 /// Resident memory of this process; 0 where the kernel doesn't tell.
 fn resident_bytes() -> u64 {
-    let told = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages: Option<u64> = told.split(' ').nth(1).and_then(|word| word.parse().ok());
+    let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
+    let pages: Option<u64> = statm.split(' ').nth(1).and_then(|word| word.parse().ok());
     pages.unwrap_or_default() * PAGE_BYTES
 }
--- a/crates/pinhaven-lab/src/versions/giving.rs
+++ b/crates/pinhaven-lab/src/versions/giving.rs
@@ -1,11 +1,11 @@
 //! What an entry answers to a peer that asks for a version, step by step as entries do.
 
-use crate::versions::history::MadePackage;
+use crate::versions::history::BuiltPackage;
 use crate::versions::history::PackageKey;
-use crate::versions::instance::KeptDelta;
-use crate::versions::message::AnswerUnderWay;
+use crate::versions::instance::RetainedDelta;
+use crate::versions::message::AnswerInFlight;
 use crate::versions::message::CallNumber;
-use crate::versions::message::End;
+use crate::versions::message::Endpoint;
 use crate::versions::message::Reply;
 use crate::versions::message::Work;
 use crate::versions::plan::Transfer;
@@ -17,11 +17,11 @@
 use std::rc::Rc;
 
 /// Nanoseconds in a microsecond.
-const NS_A_US: u64 = 1_000;
+const NS_PER_US: u64 = 1_000;
 
 impl World<'_> {
     /// Takes a question in and answers it once the processor has time.
-    pub(super) fn hear_question(
+    pub(super) fn receive_request(
         &mut self,
         entry: usize,
         asker: usize,
@@ -31,7 +31,7 @@
         if self.has_fault(|fault| *fault == VersionFault::AdvertisesButIsSilent { entry }) {
             return;
         }
-        let cost_us = self.plan.costs.call_us + self.cost_of_package_us(entry, &request);
+        let cost_us = self.plan.costs.call_us + self.packing_cost_us(entry, &request);
         let work = Work::Answer {
             asker,
             call,
@@ -40,57 +40,58 @@
         self.work(entry, cost_us, work);
     }
 
-    /// Processor time for making the package that a peer needs, if it is not kept.
-    fn cost_of_package_us(&mut self, entry: usize, request: &PartRequest) -> u64 {
-        if self.instances[entry].held <= request.held || self.claims_only(entry) {
+    /// Processor time for making the package that a peer needs, if it is not cached.
+    fn packing_cost_us(&mut self, entry: usize, request: &PartRequest) -> u64 {
+        if self.instances[entry].held <= request.held || self.only_advertises(entry) {
             return 0;
         }
         let costs = self.plan.costs;
         if self.plan.transfer == Transfer::WholeInASecond {
-            let key = self.key_for(entry, request);
+            let key = self.package_key(entry, request);
             let routes: usize = key
                 .steps
                 .iter()
                 .map(|step| self.history.routes(*step))
                 .sum();
-            return routes as u64 * costs.pack_ns / NS_A_US;
+            return routes as u64 * costs.pack_ns / NS_PER_US;
         }
-        let kept = self.kept_package(entry, request);
-        if kept.is_some() {
+        let cached = self.cached_package(entry, request);
+        if cached.is_some() {
             return 0;
         }
-        let made = self.make_package(entry, request);
-        made.routes as u64 * costs.pack_ns / NS_A_US
+        let built = self.cache_new_package(entry, request);
+        built.routes as u64 * costs.pack_ns / NS_PER_US
     }
 
-    fn claims_only(&self, entry: usize) -> bool {
+    fn only_advertises(&self, entry: usize) -> bool {
         self.has_fault(|fault| *fault == VersionFault::AdvertisesButHasNone { entry })
     }
 
-    /// The package that a peer has begun, or else the one that it needs, if it is kept.
-    fn kept_package(&mut self, entry: usize, request: &PartRequest) -> Option<Rc<MadePackage>> {
-        let named = self.instances[entry].package_named(request.package);
-        if named.is_some() {
-            return named;
+    /// The package that a peer has begun, or else the one that it needs, if it is cached.
+    fn cached_package(&mut self, entry: usize, request: &PartRequest) -> Option<Rc<BuiltPackage>> {
+        let begun = self.instances[entry].find_package_by_digest(request.package);
+        if begun.is_some() {
+            return begun;
         }
-        let key = self.key_for(entry, request);
-        self.instances[entry]
-            .kept_package(|made| made.key.start == key.start && made.key.version() == key.version())
+        let key = self.package_key(entry, request);
+        self.instances[entry].cached_package(|built| {
+            built.key.start == key.start && built.key.version() == key.version()
+        })
     }
 
-    fn make_package(&mut self, entry: usize, request: &PartRequest) -> Rc<MadePackage> {
-        let key = self.key_for(entry, request);
-        let made = self.history.package(&key);
-        self.instances[entry].keep_package(Rc::clone(&made));
-        made
+    fn cache_new_package(&mut self, entry: usize, request: &PartRequest) -> Rc<BuiltPackage> {
+        let key = self.package_key(entry, request);
+        let built = self.history.package(&key);
+        self.instances[entry].insert_package(Rc::clone(&built));
+        built
     }
 
     /// What leads a peer from what it holds to what this entry holds.
-    fn key_for(&self, entry: usize, request: &PartRequest) -> PackageKey {
+    fn package_key(&self, entry: usize, request: &PartRequest) -> PackageKey {
         let instance = &self.instances[entry];
         let deltas = instance.deltas_since(request.held);
-        let deltas =
-            deltas.filter(|deltas| !request.needs_whole && self.are_smaller(entry, deltas));
+        let deltas = deltas
+            .filter(|deltas| !request.needs_whole && self.is_smaller_than_whole(entry, deltas));
         match deltas {
             Some(deltas) => PackageKey {
                 start: Some(request.held),
@@ -104,11 +105,11 @@
     }
 
     /// Whether differences name less than there is in all. Where each carries all routes anyway it isn't asked.
-    fn are_smaller(&self, entry: usize, deltas: &[KeptDelta]) -> bool {
+    fn is_smaller_than_whole(&self, entry: usize, deltas: &[RetainedDelta]) -> bool {
         let held = self.instances[entry].held;
-        let named: usize = deltas.iter().map(|delta| delta.size).sum();
+        let changes: usize = deltas.iter().map(|delta| delta.size).sum();
         let all = self.history.services(held) + self.history.routes(held);
-        self.plan.transfer == Transfer::WholeInASecond || named <= all
+        self.plan.transfer == Transfer::WholeInASecond || changes <= all
     }
 
     pub(super) fn answer(
@@ -127,57 +128,57 @@
             }),
             _ => 0,
         };
-        let answer = AnswerUnderWay {
-            from: End::Entry(entry),
+        let answer = AnswerInFlight {
+            from: Endpoint::Entry(entry),
             to: asker,
             call,
             unsent_bytes: 0,
-            segments_under_way: 0,
+            segments_in_flight: 0,
             reply,
         };
         self.begin_answer(bytes, answer);
     }
 
     fn reply_to(&mut self, entry: usize, request: &PartRequest) -> Reply {
-        if self.instances[entry].held <= request.held || self.claims_only(entry) {
+        if self.instances[entry].held <= request.held || self.only_advertises(entry) {
             return Reply::NothingNewer;
         }
         if self.plan.transfer == Transfer::WholeInASecond {
-            let key = self.key_for(entry, request);
+            let key = self.package_key(entry, request);
             return Reply::Whole {
                 start: key.start,
                 steps: key.steps,
             };
         }
-        let kept = self.kept_package(entry, request);
-        let made = kept.unwrap_or_else(|| self.make_package(entry, request));
-        let reply = self.part_of(entry, request, &made);
+        let cached = self.cached_package(entry, request);
+        let built = cached.unwrap_or_else(|| self.cache_new_package(entry, request));
+        let reply = self.part_reply(entry, request, &built);
         if self.has_fault(|fault| *fault == VersionFault::PackagesAreDropped) {
-            self.instances[entry].forget_packages();
+            self.instances[entry].clear_packages();
         }
         reply
     }
 
-    fn part_of(&mut self, entry: usize, request: &PartRequest, made: &MadePackage) -> Reply {
+    fn part_reply(&mut self, entry: usize, request: &PartRequest, built: &BuiltPackage) -> Reply {
         let now = self.now();
-        let digest = made.package.digest();
-        let has_begun = request.package == Some(digest);
-        let offset = if has_begun { request.offset } else { 0 };
-        let all = made.package.bytes();
-        let rest = all.get(offset as usize..).unwrap_or_default();
-        let length = rest.len().min(request.bytes_max).min(PART_BYTES_MAX);
-        let giving = &mut self.instances[entry].giving;
+        let digest = built.package.digest();
+        let is_resumed = request.package == Some(digest);
+        let offset = if is_resumed { request.offset } else { 0 };
+        let all = built.package.bytes();
+        let remaining = all.get(offset as usize..).unwrap_or_default();
+        let length = remaining.len().min(request.bytes_max).min(PART_BYTES_MAX);
+        let budget = &mut self.instances[entry].transfer_budget;
         if offset == 0
-            && let Err(away) = giving.begin(all.len(), now)
+            && let Err(retry_after) = budget.begin(all.len(), now)
         {
-            return Reply::Busy(away);
+            return Reply::Busy(retry_after);
         }
         Reply::Part(Part {
-            version: made.package.version(),
+            version: built.package.version(),
             package: digest,
             total_bytes: all.len() as u64,
             offset,
-            bytes: rest[..length].to_vec(),
+            bytes: remaining[..length].to_vec(),
         })
     }
 }
--- a/crates/pinhaven-lab/src/versions/history.rs
+++ b/crates/pinhaven-lab/src/versions/history.rs
@@ -1,6 +1,6 @@
 //! The versions of a run: real bundles of generated routes, the differences between them and their packages.
 //!
-//! Packages of the same versions are the same at every entry, so each is made once for all of them, and once
+//! Packages of the same versions are the same at every entry, so each is built once for all of them, and once
 //! it is checked that it leads to the signed version.
 
 use crate::versions::plan::VersionChange;
@@ -44,7 +44,7 @@
 
 /// A package, and what receivers find.
 #[derive(Debug)]
-pub(super) struct MadePackage {
+pub(super) struct BuiltPackage {
     pub(super) key: PackageKey,
     pub(super) package: BundlePackage,
     /// Routes in it.
@@ -57,8 +57,8 @@
 pub(super) struct History {
     versions: Vec<CanonicalBundle>,
     deltas: HashMap<(BundleVersion, BundleVersion), Rc<BundleDelta>>,
-    packages: HashMap<PackageKey, Rc<MadePackage>>,
-    by_digest: HashMap<Digest, Rc<MadePackage>>,
+    packages: HashMap<PackageKey, Rc<BuiltPackage>>,
+    by_digest: HashMap<Digest, Rc<BuiltPackage>>,
     whole_transfer_bytes: HashMap<PackageKey, usize>,
 }
 
@@ -74,9 +74,9 @@
             let version = BundleVersion::new(number);
             let bundle = match plan.change {
                 VersionChange::AddRoutes => {
-                    generated(version, 0, ROUTES_BEFORE + changed * plan.routes)
+                    generate_bundle(version, 0, ROUTES_BEFORE + changed * plan.routes)
                 }
-                _ => generated(version, changed, plan.routes),
+                _ => generate_bundle(version, changed, plan.routes),
             };
             CanonicalBundle::new(bundle)
         };
@@ -124,23 +124,23 @@
     }
 
     /// The package that leads from and to these versions.
-    pub(super) fn package(&mut self, key: &PackageKey) -> Rc<MadePackage> {
-        if let Some(made) = self.packages.get(key) {
-            return Rc::clone(made);
+    pub(super) fn package(&mut self, key: &PackageKey) -> Rc<BuiltPackage> {
+        if let Some(built) = self.packages.get(key) {
+            return Rc::clone(built);
         }
-        let made = Rc::new(self.make(key));
-        self.packages.insert(key.clone(), Rc::clone(&made));
-        let digest = made.package.digest();
-        self.by_digest.insert(digest, Rc::clone(&made));
-        made
+        let built = Rc::new(self.build_package(key));
+        self.packages.insert(key.clone(), Rc::clone(&built));
+        let digest = built.package.digest();
+        self.by_digest.insert(digest, Rc::clone(&built));
+        built
     }
 
     /// The package with these bytes.
-    pub(super) fn package_of(&self, bytes: &[u8]) -> Option<Rc<MadePackage>> {
+    pub(super) fn find_package(&self, bytes: &[u8]) -> Option<Rc<BuiltPackage>> {
         self.by_digest.get(&Digest::of(bytes)).map(Rc::clone)
     }
 
-    fn make(&mut self, key: &PackageKey) -> MadePackage {
+    fn build_package(&mut self, key: &PackageKey) -> BuiltPackage {
         let deltas = self.deltas_of(key);
         let body = self.body(key.version());
         let head = head_of(body);
@@ -154,8 +154,8 @@
             Some(_) => steps.iter().map(BundleDelta::size).sum(),
             None => self.routes(key.version()),
         };
-        MadePackage {
-            is_good: self.leads_there(key, &package),
+        BuiltPackage {
+            is_good: self.yields_signed_version(key, &package),
             key: key.clone(),
             package,
             routes,
@@ -163,7 +163,7 @@
     }
 
     /// Whether what a receiver unpacks leads to the version.
-    fn leads_there(&self, key: &PackageKey, package: &BundlePackage) -> bool {
+    fn yields_signed_version(&self, key: &PackageKey, package: &BundlePackage) -> bool {
         let signed = self.body(key.version()).digest();
         let Ok(unpacked) = BundlePackage::unpack(package.bytes()) else {
             return false;
@@ -221,7 +221,7 @@
 }
 
 /// A bundle of `routes` routes, of which the first `changed` have another time-out than at first.
-pub(super) fn generated(version: BundleVersion, changed: usize, routes: usize) -> Bundle {
+pub(super) fn generate_bundle(version: BundleVersion, changed: usize, routes: usize) -> Bundle {
     let hosts: Vec<serde_json::Value> = (0..HOSTS)
         .map(|host| {
             let paths = (host..routes).step_by(HOSTS).map(|number| {
@@ -244,11 +244,11 @@
 }
 
 fn route(number: usize, timeout_ms: usize) -> serde_json::Value {
-    // Numbers that look drawn, so that routes compress like names that people and programs give.
-    let drawn = (number as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 24;
+    // Numbers that look random, so that routes compress like names that people and programs give.
+    let scrambled = (number as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 24;
     json!({
-        "name": format!("route-{drawn:010x}"),
-        "path_prefix": format!("/area-{}/{drawn:010x}/", number % 50),
+        "name": format!("route-{scrambled:010x}"),
+        "path_prefix": format!("/area-{}/{scrambled:010x}/", number % 50),
         "kind": if number.is_multiple_of(3) { "non_idempotent" } else { "idempotent" },
         "timeout_ms": timeout_ms,
         "aim_ms": 600,
--- a/crates/pinhaven-lab/src/versions/instance.rs
+++ b/crates/pinhaven-lab/src/versions/instance.rs
@@ -2,7 +2,7 @@
 
 use crate::versions::carrier::Link;
 use crate::versions::carrier::Processor;
-use crate::versions::history::MadePackage;
+use crate::versions::history::BuiltPackage;
 use crate::versions::message::CallNumber;
 use crate::versions::plan::VersionsPlan;
 use pinhaven_agree::MemberRow;
@@ -30,28 +30,28 @@
 /// Port of the first entry.
 const FIRST_PORT: u16 = 1_000;
 /// Differences that are kept for peers, as in an entry.
-const DELTAS_KEPT: usize = 64;
+const DELTAS_MAX: usize = 64;
 /// Services and routes that they may name together, as in an entry.
-const CHANGES_KEPT: usize = 8_192;
+const DELTA_CHANGES_MAX: usize = 8_192;
 /// Packages that are kept for peers, as in an entry.
-const PACKAGES_KEPT: usize = 8;
+const PACKAGES_MAX: usize = 8;
 
 /// A difference that is kept for peers.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct KeptDelta {
+pub(super) struct RetainedDelta {
     pub(super) from: BundleVersion,
     pub(super) to: BundleVersion,
     pub(super) size: usize,
 }
 
-/// Asking one peer for a version, and those that were asked before.
+/// PeerAttempt one peer for a version, and those that were asked before.
 #[derive(Debug)]
-pub(super) struct Asking {
+pub(super) struct PeerAttempt {
     pub(super) peer: usize,
     pub(super) tried: Vec<SocketAddr>,
     pub(super) restarts: u32,
     /// How long to stay away, if a peer that was tried was busy.
-    pub(super) away: Option<Microseconds>,
+    pub(super) retry_after: Option<Microseconds>,
     /// Rounds in which all were busy.
     pub(super) rounds: u32,
     pub(super) call: CallNumber,
@@ -65,23 +65,23 @@
     pub(super) held: BundleVersion,
     pub(super) lag: VersionLag,
     pub(super) fetch: VersionFetch,
-    pub(super) asking: Option<Asking>,
-    pub(super) calls: CallNumber,
-    pub(super) giving: TransferBudget,
-    deltas: VecDeque<KeptDelta>,
-    packages: VecDeque<Rc<MadePackage>>,
+    pub(super) attempt: Option<PeerAttempt>,
+    pub(super) last_call: CallNumber,
+    pub(super) transfer_budget: TransferBudget,
+    deltas: VecDeque<RetainedDelta>,
+    packages: VecDeque<Rc<BuiltPackage>>,
     pub(super) link: Link,
     pub(super) processor: Processor,
     pub(super) is_alive: bool,
     pub(super) is_delegate: bool,
-    pub(super) store_seen: BundleVersion,
-    pub(super) store_pause: RetryBackoff,
+    pub(super) store_version_seen: BundleVersion,
+    pub(super) store_backoff: RetryBackoff,
     pub(super) waits_for_store: bool,
     pub(super) store_asked_us: u64,
     /// Whether the change was there already when the store was last asked.
     pub(super) store_was_ahead: bool,
     /// How long the store's last answer took to come.
-    pub(super) store_took_us: u64,
+    pub(super) store_answer_us: u64,
     pub(super) peer_bytes: u64,
     pub(super) store_bytes: u64,
     pub(super) store_calls: u64,
@@ -108,21 +108,21 @@
             held,
             lag,
             fetch: VersionFetch::default(),
-            asking: None,
-            calls: 0,
-            giving: TransferBudget::new(plan.link_mbps),
+            attempt: None,
+            last_call: 0,
+            transfer_budget: TransferBudget::new(plan.link_mbps),
             deltas: VecDeque::new(),
             packages: VecDeque::new(),
             link: Link::new(plan.link_mbps),
             processor: Processor::new(plan.core_share),
             is_alive: true,
             is_delegate: false,
-            store_seen: held,
-            store_pause: RetryBackoff::default(),
+            store_version_seen: held,
+            store_backoff: RetryBackoff::default(),
             waits_for_store: false,
             store_asked_us: 0,
             store_was_ahead: false,
-            store_took_us: 0,
+            store_answer_us: 0,
             peer_bytes: 0,
             store_bytes: 0,
             store_calls: 0,
@@ -135,13 +135,13 @@
 
     /// Takes in that a version is in force, reached by a difference of this size.
     pub(super) fn put_in_force(&mut self, version: BundleVersion, size: usize) {
-        let delta = KeptDelta {
+        let delta = RetainedDelta {
             from: self.held,
             to: version,
             size,
         };
         if self.held > BundleVersion::NONE {
-            self.keep_delta(delta);
+            self.retain_delta(delta);
         }
         self.held = version;
         self.lag.put_in_force(version);
@@ -149,51 +149,54 @@
         self.members.advance_heartbeat(version, 0);
     }
 
-    fn keep_delta(&mut self, delta: KeptDelta) {
+    fn retain_delta(&mut self, delta: RetainedDelta) {
         self.deltas.push_back(delta);
-        while self.deltas.len() > DELTAS_KEPT || self.changes_kept() > CHANGES_KEPT {
+        while self.deltas.len() > DELTAS_MAX || self.retained_changes() > DELTA_CHANGES_MAX {
             self.deltas.pop_front();
         }
     }
 
     /// Services and routes that the kept differences name.
-    pub(super) fn changes_kept(&self) -> usize {
+    pub(super) fn retained_changes(&self) -> usize {
         self.deltas.iter().map(|delta| delta.size).sum()
     }
 
     /// The kept differences that lead from a version to the one in force.
-    pub(super) fn deltas_since(&self, version: BundleVersion) -> Option<Vec<KeptDelta>> {
+    pub(super) fn deltas_since(&self, version: BundleVersion) -> Option<Vec<RetainedDelta>> {
         let first = self.deltas.iter().position(|delta| delta.from == version)?;
         Some(self.deltas.iter().skip(first).copied().collect())
     }
 
     /// A kept package that fits.
-    pub(super) fn kept_package(
+    pub(super) fn cached_package(
         &mut self,
-        fits: impl Fn(&MadePackage) -> bool,
-    ) -> Option<Rc<MadePackage>> {
-        let index = self.packages.iter().position(|made| fits(made))?;
+        fits: impl Fn(&BuiltPackage) -> bool,
+    ) -> Option<Rc<BuiltPackage>> {
+        let index = self.packages.iter().position(|built| fits(built))?;
         let used = self.packages.remove(index)?;
         self.packages.push_back(Rc::clone(&used));
         Some(used)
     }
 
     /// The kept package with this digest.
-    pub(super) fn package_named(&mut self, digest: Option<Digest>) -> Option<Rc<MadePackage>> {
+    pub(super) fn find_package_by_digest(
+        &mut self,
+        digest: Option<Digest>,
+    ) -> Option<Rc<BuiltPackage>> {
         let digest = digest?;
-        self.kept_package(|made| made.package.digest() == digest)
+        self.cached_package(|built| built.package.digest() == digest)
     }
 
     /// Keeps a package in place of the one that was not asked for the longest.
-    pub(super) fn keep_package(&mut self, made: Rc<MadePackage>) {
-        self.packages.push_back(made);
-        if self.packages.len() > PACKAGES_KEPT {
+    pub(super) fn insert_package(&mut self, built: Rc<BuiltPackage>) {
+        self.packages.push_back(built);
+        if self.packages.len() > PACKAGES_MAX {
             self.packages.pop_front();
         }
     }
 
     /// Forgets all packages.
-    pub(super) fn forget_packages(&mut self) {
+    pub(super) fn clear_packages(&mut self) {
         self.packages.clear();
     }
 
@@ -201,7 +204,7 @@
     pub(super) fn package_bytes(&self) -> usize {
         self.packages
             .iter()
-            .map(|made| made.package.bytes().len())
+            .map(|built| built.package.bytes().len())
             .sum()
     }
 }
--- a/crates/pinhaven-lab/src/versions/message.rs
+++ b/crates/pinhaven-lab/src/versions/message.rs
@@ -9,7 +9,7 @@
 
 /// An end of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum Endpoint {
     Entry(usize),
     Store,
 }
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone)]
 pub(super) enum Payload {
     /// The sender's own row, and rows of others.
-    News(Rc<[MemberRow]>),
+    Datagram(Rc<[MemberRow]>),
     /// A question for a newer version.
     Ask {
         call: CallNumber,
@@ -49,7 +49,7 @@
 /// Something said, with the bytes that it takes on a link.
 #[derive(Debug, Clone)]
 pub(super) struct Message {
-    pub(super) from: End,
+    pub(super) from: Endpoint,
     pub(super) to: usize,
     pub(super) bytes: usize,
     pub(super) payload: Payload,
@@ -57,12 +57,12 @@
 
 /// An answer that is under way, segment after segment.
 #[derive(Debug)]
-pub(super) struct AnswerUnderWay {
-    pub(super) from: End,
+pub(super) struct AnswerInFlight {
+    pub(super) from: Endpoint,
     pub(super) to: usize,
     pub(super) call: CallNumber,
     pub(super) unsent_bytes: usize,
-    pub(super) segments_under_way: usize,
+    pub(super) segments_in_flight: usize,
     pub(super) reply: Reply,
 }
 
@@ -76,16 +76,19 @@
         request: PartRequest,
     },
     /// Looking at an answer.
-    TakeReply { call: CallNumber, reply: Reply },
+    HandleReply { call: CallNumber, reply: Reply },
     /// Putting together and checking what came from a peer.
-    Adopt { call: CallNumber, arrived: Arrived },
+    Adopt {
+        call: CallNumber,
+        received: ReceivedVersion,
+    },
     /// The same with what came from the store.
     AdoptStored(BundleVersion),
 }
 
 /// A version that has come from a peer.
 #[derive(Debug, Clone)]
-pub(super) struct Arrived {
+pub(super) struct ReceivedVersion {
     pub(super) version: BundleVersion,
     /// The version that it leads on from; `None` for a whole body.
     pub(super) start: Option<BundleVersion>,
@@ -99,15 +102,15 @@
     /// The store has acknowledged a version.
     Acknowledged(BundleVersion),
     /// A message reaches the receiver's link.
-    Reaches(Message),
+    ReachedLink(Message),
     /// A message is through the receiver's link.
     Received(Message),
     /// The processor of an entry is done.
-    Worked { entry: usize, work: Work },
+    WorkDone { entry: usize, work: Work },
     /// A call has had its time.
     TimedOut { entry: usize, call: CallNumber },
     /// An entry that was sent away asks again.
-    AskAgain { entry: usize, call: CallNumber },
+    RetryFetch { entry: usize, call: CallNumber },
     /// An entry that follows the store looks whether a peer is still ahead.
     FetchFrom {
         entry: usize,
@@ -115,9 +118,9 @@
         version: BundleVersion,
     },
     /// An entry tells the others that it lives.
-    NewsRound(usize),
+    DatagramRound(usize),
     /// An entry asks the store.
-    AskStore(usize),
+    PollStore(usize),
     /// An entry dies.
-    Dies(usize),
+    Crashes(usize),
 }
--- a/crates/pinhaven-lab/src/versions/news.rs
+++ b/crates/pinhaven-lab/src/versions/news.rs
@@ -2,7 +2,7 @@
 
 use crate::versions::instance::address_of;
 use crate::versions::instance::entry_at;
-use crate::versions::message::End;
+use crate::versions::message::Endpoint;
 use crate::versions::message::Event;
 use crate::versions::message::Message;
 use crate::versions::message::Payload;
@@ -14,28 +14,28 @@
 use std::rc::Rc;
 
 /// Time between two datagrams that an entry tells versions in, in microseconds, as in an entry.
-const WHOLE_EVERY_US: u64 = 500_000;
+const DATAGRAM_INTERVAL_US: u64 = 500_000;
 /// Entries of a failure domain that tell all that serve, as in an entry.
 const CANDIDATES_PER_DOMAIN: usize = 8;
 /// Others that a candidate tells, and that any other entry tells, as in an entry.
-const OTHERS_TOLD: usize = 3;
-const OTHERS_TOLD_LEAST: usize = 1;
-/// Beats of others in a datagram, as in an entry.
-const BEATS_PASSED_ON: usize = 6;
+const STANDBY_RECIPIENTS: usize = 3;
+const STANDBY_RECIPIENTS_MIN: usize = 1;
+/// Beats of standby in a datagram, as in an entry.
+const RELAYED_HEARTBEATS_MAX: usize = 6;
 /// Bytes of a datagram, and of each beat in it.
-const NEWS_BYTES: usize = 120;
-const BEAT_BYTES: usize = 45;
+const DATAGRAM_BYTES: usize = 120;
+const HEARTBEAT_BYTES: usize = 45;
 /// Time in which the store may bring a version that a peer has already, in microseconds, as in an entry.
 const STORE_HEAD_START_US: u64 = 200_000;
 
 impl World<'_> {
-    pub(super) fn plan_first_round(&mut self, entry: usize) {
-        let phase_us = self.random.u64(0..WHOLE_EVERY_US);
-        self.queue.schedule(phase_us, Event::NewsRound(entry));
+    pub(super) fn schedule_first_round(&mut self, entry: usize) {
+        let phase_us = self.random.u64(0..DATAGRAM_INTERVAL_US);
+        self.queue.schedule(phase_us, Event::DatagramRound(entry));
     }
 
     /// Tells that an entry lives, and looks whether it speaks with the store.
-    pub(super) fn tell_round(&mut self, entry: usize) {
+    pub(super) fn send_round(&mut self, entry: usize) {
         if !self.instances[entry].is_alive {
             return;
         }
@@ -43,33 +43,35 @@
         let instance = &mut self.instances[entry];
         let was_delegate = instance.is_delegate;
         instance.is_delegate = instance.members.is_delegate(now);
-        let begins = instance.is_delegate && !was_delegate;
+        let becomes_delegate = instance.is_delegate && !was_delegate;
         instance.members.advance_heartbeat(instance.held, 0);
         instance.members.remove_silent(now);
-        if begins && !instance.waits_for_store {
-            self.queue.schedule(self.now_us, Event::AskStore(entry));
+        if becomes_delegate && !instance.waits_for_store {
+            self.queue.schedule(self.now_us, Event::PollStore(entry));
         }
-        self.tell(entry, false);
-        self.queue
-            .schedule(self.now_us + WHOLE_EVERY_US, Event::NewsRound(entry));
+        self.send_datagrams(entry, false);
+        self.queue.schedule(
+            self.now_us + DATAGRAM_INTERVAL_US,
+            Event::DatagramRound(entry),
+        );
     }
 
     /// Tells which version an entry has; a delegate whose news are urgent tells all.
-    pub(super) fn tell(&mut self, entry: usize, is_urgent: bool) {
-        let told = self.told_by(entry, is_urgent);
-        let rows = self.rows_to_tell(entry);
-        let bytes = NEWS_BYTES + rows.len() * BEAT_BYTES;
-        for peer in told {
+    pub(super) fn send_datagrams(&mut self, entry: usize, is_urgent: bool) {
+        let recipients = self.choose_recipients(entry, is_urgent);
+        let rows = self.datagram_rows(entry);
+        let bytes = DATAGRAM_BYTES + rows.len() * HEARTBEAT_BYTES;
+        for peer in recipients {
             self.send(Message {
-                from: End::Entry(entry),
+                from: Endpoint::Entry(entry),
                 to: entry_at(peer),
                 bytes,
-                payload: Payload::News(Rc::clone(&rows)),
+                payload: Payload::Datagram(Rc::clone(&rows)),
             });
         }
     }
 
-    fn told_by(&mut self, entry: usize, is_urgent: bool) -> Vec<SocketAddr> {
+    fn choose_recipients(&mut self, entry: usize, is_urgent: bool) -> Vec<SocketAddr> {
         let now = self.now();
         let members = &self.instances[entry].members;
         let domain = &members.own().failure_domain;
@@ -87,74 +89,79 @@
         let (near, far): (Vec<&MemberRow>, Vec<&MemberRow>) = peers
             .into_iter()
             .partition(|row| row.failure_domain == *domain);
-        let is_close = |row: &&MemberRow| delegates.contains(&row.peer_address);
-        let close_far = far.iter().copied().filter(is_close);
-        let mut others: Vec<&MemberRow> =
-            far.iter().copied().filter(|row| !is_close(row)).collect();
-        let mut told: Vec<&MemberRow> = near.iter().copied().filter(is_close).collect();
+        let is_delegate_row = |row: &&MemberRow| delegates.contains(&row.peer_address);
+        let serving_far = far.iter().copied().filter(is_delegate_row);
+        let mut standby: Vec<&MemberRow> = far
+            .iter()
+            .copied()
+            .filter(|row| !is_delegate_row(row))
+            .collect();
+        let mut recipients: Vec<&MemberRow> =
+            near.iter().copied().filter(is_delegate_row).collect();
         if is_delegate || is_candidate {
-            told.extend(close_far);
+            recipients.extend(serving_far);
         }
-        let others_near = near.iter().copied().filter(|row| !is_close(row));
+        let standby_near = near.iter().copied().filter(|row| !is_delegate_row(row));
         match is_delegate {
-            true => told.extend(others_near),
-            false => others.extend(others_near),
+            true => recipients.extend(standby_near),
+            false => standby.extend(standby_near),
         }
         let count = match is_delegate || is_candidate {
-            true => OTHERS_TOLD,
-            false => OTHERS_TOLD_LEAST,
+            true => STANDBY_RECIPIENTS,
+            false => STANDBY_RECIPIENTS_MIN,
         };
-        let mut told: Vec<SocketAddr> = told.into_iter().map(|row| row.peer_address).collect();
-        let others: Vec<SocketAddr> = others.into_iter().map(|row| row.peer_address).collect();
-        told.extend(self.random.choose_multiple(others, count));
-        told
+        let mut recipients: Vec<SocketAddr> =
+            recipients.into_iter().map(|row| row.peer_address).collect();
+        let standby: Vec<SocketAddr> = standby.into_iter().map(|row| row.peer_address).collect();
+        recipients.extend(self.random.choose_multiple(standby, count));
+        recipients
     }
 
-    /// The row of an entry itself, and some of others that live.
-    fn rows_to_tell(&mut self, entry: usize) -> Rc<[MemberRow]> {
+    /// The row of an entry itself, and relayed of standby that live.
+    fn datagram_rows(&mut self, entry: usize) -> Rc<[MemberRow]> {
         let now = self.now();
-        let claims = self.has_fault(|fault| match fault {
-            VersionFault::AdvertisesButIsSilent { entry: claims }
-            | VersionFault::AdvertisesButHasNone { entry: claims } => *claims == entry,
+        let is_advertiser = self.has_fault(|fault| match fault {
+            VersionFault::AdvertisesButIsSilent { entry: faulty }
+            | VersionFault::AdvertisesButHasNone { entry: faulty } => *faulty == entry,
             _ => false,
         });
         let members = &self.instances[entry].members;
         let live = members.live_peers(now);
-        let some = self.random.choose_multiple(live, BEATS_PASSED_ON);
+        let relayed = self.random.choose_multiple(live, RELAYED_HEARTBEATS_MAX);
         let mut own = members.own().clone();
-        if claims {
+        if is_advertiser {
             own.version = self.store_head;
         }
         std::iter::once(own)
-            .chain(some.into_iter().cloned())
+            .chain(relayed.into_iter().cloned())
             .collect()
     }
 
     /// Takes in what another entry tells.
-    pub(super) fn hear(&mut self, entry: usize, rows: &[MemberRow]) {
+    pub(super) fn receive_datagram(&mut self, entry: usize, rows: &[MemberRow]) {
         let now = self.now();
-        let Some((sender, others)) = rows.split_first() else {
+        let Some((sender, relayed)) = rows.split_first() else {
             return;
         };
         let members = &mut self.instances[entry].members;
         members.record_member(sender.clone(), now);
-        for row in others {
+        for row in relayed {
             members.record_relayed_member(row.clone(), now);
         }
-        self.hear_version(entry, entry_at(sender.peer_address), sender.version);
+        self.learn_version(entry, entry_at(sender.peer_address), sender.version);
     }
 
-    fn hear_version(&mut self, entry: usize, peer: usize, version: BundleVersion) {
+    fn learn_version(&mut self, entry: usize, peer: usize, version: BundleVersion) {
         let now = self.now();
         let instance = &mut self.instances[entry];
         if version <= instance.held {
             return;
         }
         instance.lag.record_known(version, now);
-        let follows = instance.members.is_delegate(now);
-        let waits_us = match follows {
+        let is_delegate = instance.members.is_delegate(now);
+        let delay_us = match is_delegate {
             true => STORE_HEAD_START_US,
-            false if instance.asking.is_some() => return,
+            false if instance.attempt.is_some() => return,
             false => 0,
         };
         let fetch = Event::FetchFrom {
@@ -162,13 +169,13 @@
             peer,
             version,
         };
-        self.queue.schedule(self.now_us + waits_us, fetch);
+        self.queue.schedule(self.now_us + delay_us, fetch);
     }
 
-    /// Fetches a version from the peer that told of it, if it has not come in the meantime.
+    /// Fetches a version from the peer that recipients of it, if it has not come in the meantime.
     pub(super) fn fetch_if_behind(&mut self, entry: usize, peer: usize, version: BundleVersion) {
         let instance = &self.instances[entry];
-        if !instance.is_alive || version <= instance.held || instance.asking.is_some() {
+        if !instance.is_alive || version <= instance.held || instance.attempt.is_some() {
             return;
         }
         self.ask_peer(entry, address_of(peer));
--- a/crates/pinhaven-lab/src/versions/outcome.rs
+++ b/crates/pinhaven-lab/src/versions/outcome.rs
@@ -76,7 +76,7 @@
         self.entries.iter().map(of).sum::<f64>() / self.entries.len().max(1) as f64
     }
 
-    fn most(&self, of: impl Fn(&EntryOutcome) -> f64) -> f64 {
+    fn max(&self, of: impl Fn(&EntryOutcome) -> f64) -> f64 {
         self.entries.iter().map(of).fold(0.0, f64::max)
     }
 }
@@ -120,10 +120,10 @@
         kilobytes(outcome.mean(|entry| entry.peer_bytes as f64)),
         kilobytes(outcome.mean(|entry| entry.store_bytes as f64)),
         format!("{:.1}", outcome.mean(|entry| entry.processor_ms)),
-        format!("{:.1}", outcome.most(|entry| entry.processor_ms)),
+        format!("{:.1}", outcome.max(|entry| entry.processor_ms)),
         format!(
             "{:.1}",
-            outcome.most(|entry| entry.memory_peak_bytes as f64) / 1e6
+            outcome.max(|entry| entry.memory_peak_bytes as f64) / 1e6
         ),
         format!(
             "{:.0}",
--- a/crates/pinhaven-lab/src/versions/store.rs
+++ b/crates/pinhaven-lab/src/versions/store.rs
@@ -1,7 +1,7 @@
 //! The store: it acknowledges versions, and gives each whole to the entries that follow it.
 
-use crate::versions::message::AnswerUnderWay;
-use crate::versions::message::End;
+use crate::versions::message::AnswerInFlight;
+use crate::versions::message::Endpoint;
 use crate::versions::message::Event;
 use crate::versions::message::Reply;
 use crate::versions::message::Work;
@@ -17,10 +17,10 @@
 const ANSWER_US: u64 = 4_000;
 /// Time in which a whole answer must be there where it is not taken piece by piece, and where it is, in
 /// microseconds, as in an entry.
-const AT_ONCE_US: u64 = 1_500_000;
-const BY_PIECES_US: u64 = 52_000_000;
+const WHOLE_ANSWER_TIMEOUT_US: u64 = 1_500_000;
+const PIECEWISE_ANSWER_TIMEOUT_US: u64 = 52_000_000;
 /// Nanoseconds in a microsecond.
-const NS_A_US: u64 = 1_000;
+const NS_PER_US: u64 = 1_000;
 
 impl World<'_> {
     pub(super) fn acknowledge(&mut self, version: BundleVersion) {
@@ -29,13 +29,13 @@
             let instance = &self.instances[entry];
             if instance.is_delegate && !instance.waits_for_store {
                 self.queue
-                    .schedule(self.now_us + ANSWER_US, Event::AskStore(entry));
+                    .schedule(self.now_us + ANSWER_US, Event::PollStore(entry));
             }
         }
     }
 
     /// Whether the store answers an entry.
-    fn is_store_away(&self, entry: usize) -> bool {
+    fn is_store_unavailable(&self, entry: usize) -> bool {
         self.has_fault(|fault| match fault {
             VersionFault::StoreAnswersOne { until_ms } => {
                 entry != self.first_delegate()
@@ -53,72 +53,72 @@
         first.unwrap_or_default()
     }
 
-    pub(super) fn ask_store(&mut self, entry: usize) {
-        let (head, away) = (self.store_head, self.is_store_away(entry));
+    pub(super) fn poll_store(&mut self, entry: usize) {
+        let (head, is_unavailable) = (self.store_head, self.is_store_unavailable(entry));
         let instance = &mut self.instances[entry];
-        let has_nothing_to_ask = instance.store_seen >= head || instance.waits_for_store;
-        if !instance.is_alive || !instance.is_delegate || has_nothing_to_ask {
+        let is_up_to_date = instance.store_version_seen >= head || instance.waits_for_store;
+        if !instance.is_alive || !instance.is_delegate || is_up_to_date {
             return;
         }
         instance.store_calls += 1;
-        if away {
-            self.ask_store_later(entry);
+        if is_unavailable {
+            self.schedule_store_retry(entry);
             return;
         }
         self.instances[entry].waits_for_store = true;
         let bytes = self.history.body_bytes(head);
-        let answer = AnswerUnderWay {
-            from: End::Store,
+        let answer = AnswerInFlight {
+            from: Endpoint::Store,
             to: entry,
             call: self.now_us,
             unsent_bytes: 0,
-            segments_under_way: 0,
+            segments_in_flight: 0,
             reply: Reply::Stored(head),
         };
         self.instances[entry].store_asked_us = self.now_us;
-        let had_waited = self.now_us < self.acknowledged_us(head) + 2 * ANSWER_US;
-        self.instances[entry].store_was_ahead = !had_waited;
+        let is_recent = self.now_us < self.acknowledged_us(head) + 2 * ANSWER_US;
+        self.instances[entry].store_was_ahead = !is_recent;
         self.begin_answer(bytes, answer);
     }
 
-    fn ask_store_later(&mut self, entry: usize) {
-        let draw = self.random.f64();
-        let pause = self.instances[entry].store_pause.next_delay(0, draw);
+    fn schedule_store_retry(&mut self, entry: usize) {
+        let jitter = self.random.f64();
+        let pause = self.instances[entry].store_backoff.next_delay(0, jitter);
         self.queue
-            .schedule(self.now_us + pause.count(), Event::AskStore(entry));
+            .schedule(self.now_us + pause.count(), Event::PollStore(entry));
     }
 
-    pub(super) fn take_stored(&mut self, entry: usize, version: BundleVersion) {
-        let took_us = self.now_us - self.instances[entry].store_asked_us;
-        let most_us = match self.plan.transfer {
-            Transfer::WholeInASecond => AT_ONCE_US,
-            Transfer::Parts => BY_PIECES_US,
+    pub(super) fn receive_stored(&mut self, entry: usize, version: BundleVersion) {
+        let answer_us = self.now_us - self.instances[entry].store_asked_us;
+        let timeout_us = match self.plan.transfer {
+            Transfer::WholeInASecond => WHOLE_ANSWER_TIMEOUT_US,
+            Transfer::Parts => PIECEWISE_ANSWER_TIMEOUT_US,
         };
-        if took_us > most_us {
+        if answer_us > timeout_us {
             self.instances[entry].waits_for_store = false;
-            self.ask_store_later(entry);
+            self.schedule_store_retry(entry);
             return;
         }
-        self.instances[entry].store_took_us = took_us;
+        self.instances[entry].store_answer_us = answer_us;
         let routes = self.history.routes(version) as u64;
         let costs = self.plan.costs;
-        let cost_us = routes * (costs.read_ns + costs.difference_ns) / NS_A_US;
-        self.note_memory(entry, version, self.history.body_bytes(version));
+        let cost_us = routes * (costs.read_ns + costs.difference_ns) / NS_PER_US;
+        self.record_memory(entry, version, self.history.body_bytes(version));
         self.work(entry, cost_us, Work::AdoptStored(version));
     }
 
     pub(super) fn adopt_stored(&mut self, entry: usize, version: BundleVersion) {
         let now = self.now();
-        let was_there = self.instances[entry].store_was_ahead;
+        let was_ahead = self.instances[entry].store_was_ahead;
         let instance = &mut self.instances[entry];
         instance.waits_for_store = false;
-        instance.store_pause = Default::default();
-        instance.store_seen = instance.store_seen.max(version);
-        let took = Microseconds::new(instance.store_took_us);
+        instance.store_backoff = Default::default();
+        instance.store_version_seen = instance.store_version_seen.max(version);
+        let answer_time = Microseconds::new(instance.store_answer_us);
         instance.lag.record_known(version, now);
         self.put_in_force(entry, version);
-        let pause = pause_after_answer(was_there, took);
+        let pause = pause_after_answer(was_ahead, answer_time);
         let at_us = self.now_us + pause.count();
-        self.queue.schedule(at_us, Event::AskStore(entry));
+        self.queue.schedule(at_us, Event::PollStore(entry));
     }
 }
--- a/crates/pinhaven-lab/src/versions/world.rs
+++ b/crates/pinhaven-lab/src/versions/world.rs
@@ -4,8 +4,8 @@
 use crate::versions::carrier::Link;
 use crate::versions::history::History;
 use crate::versions::instance::Instance;
-use crate::versions::message::AnswerUnderWay;
-use crate::versions::message::End;
+use crate::versions::message::AnswerInFlight;
+use crate::versions::message::Endpoint;
 use crate::versions::message::Event;
 use crate::versions::message::Message;
 use crate::versions::message::Payload;
@@ -44,17 +44,17 @@
     pub(super) random: fastrand::Rng,
     pub(super) store_head: BundleVersion,
     store_link: Link,
-    answers: BTreeMap<u64, AnswerUnderWay>,
-    answers_begun: u64,
+    answers: BTreeMap<u64, AnswerInFlight>,
+    answers_started: u64,
     in_force_us: Vec<Option<u64>>,
 }
 
 impl<'plan> World<'plan> {
     /// The start of a plan.
     pub(super) fn new(plan: &'plan VersionsPlan) -> Self {
-        let fresh = plan.entries - 1;
+        let fresh_entry = plan.entries - 1;
         let held = |entry: usize| match plan.change {
-            VersionChange::FreshEntry if entry == fresh => BundleVersion::NONE,
+            VersionChange::FreshEntry if entry == fresh_entry => BundleVersion::NONE,
             _ => FIRST_VERSION,
         };
         let instances = (0..plan.entries).map(|entry| Instance::new(entry, held(entry), plan));
@@ -68,16 +68,16 @@
             store_head: FIRST_VERSION,
             store_link: Link::new(STORE_LINK_MBPS),
             answers: BTreeMap::new(),
-            answers_begun: 0,
+            answers_started: 0,
             in_force_us: vec![None; plan.entries],
         };
-        world.plan_start();
+        world.schedule_start();
         world
     }
 
-    fn plan_start(&mut self) {
+    fn schedule_start(&mut self) {
         for entry in 0..self.plan.entries {
-            self.plan_first_round(entry);
+            self.schedule_first_round(entry);
         }
         for index in 0..self.acknowledged() {
             let version = BundleVersion::new(FIRST_VERSION.number() + 1 + index);
@@ -87,7 +87,7 @@
         for fault in &self.plan.faults {
             if let VersionFault::Crashes { entry, at_ms } = fault {
                 let at_us = FIRST_ACKNOWLEDGED_US + at_ms * 1_000;
-                self.queue.schedule(at_us, Event::Dies(*entry));
+                self.queue.schedule(at_us, Event::Crashes(*entry));
             }
         }
     }
@@ -127,10 +127,10 @@
                 break;
             }
             self.now_us = at_us;
-            self.happen(event);
-            let lacks = |instance: &Instance| instance.is_alive && instance.held < last;
+            self.handle_event(event);
+            let is_behind = |instance: &Instance| instance.is_alive && instance.held < last;
             let is_over = at_us > self.last_acknowledged_us() + self.faults_end_us();
-            if is_over && !self.instances.iter().any(lacks) {
+            if is_over && !self.instances.iter().any(is_behind) {
                 break;
             }
         }
@@ -147,7 +147,7 @@
     }
 
     fn outcome(mut self) -> VersionsOutcome {
-        (0..self.instances.len()).for_each(|entry| self.note_wait(entry));
+        (0..self.instances.len()).for_each(|entry| self.record_wait(entry));
         let acknowledged_us = self.last_acknowledged_us();
         let since_ms = |at_us: u64| at_us.saturating_sub(acknowledged_us) as f64 / 1_000.0;
         let last = self.last_version();
@@ -175,36 +175,37 @@
         Microseconds::new(self.now_us)
     }
 
-    pub(super) fn has_fault(&self, is_it: impl Fn(&VersionFault) -> bool) -> bool {
-        self.plan.faults.iter().any(is_it)
+    pub(super) fn has_fault(&self, matches_fault: impl Fn(&VersionFault) -> bool) -> bool {
+        self.plan.faults.iter().any(matches_fault)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Acknowledged(version) => self.acknowledge(version),
-            Event::Reaches(message) => self.reach(message),
+            Event::ReachedLink(message) => self.reach(message),
             Event::Received(message) => self.receive(message),
-            Event::Worked { entry, work } => self.worked(entry, work),
-            Event::TimedOut { entry, call } => self.time_out(entry, call),
-            Event::AskAgain { entry, call } => self.ask_again(entry, call),
+            Event::WorkDone { entry, work } => self.finish_work(entry, work),
+            Event::TimedOut { entry, call } => self.handle_timeout(entry, call),
+            Event::RetryFetch { entry, call } => self.retry_fetch(entry, call),
             Event::FetchFrom {
                 entry,
                 peer,
                 version,
             } => self.fetch_if_behind(entry, peer, version),
-            Event::NewsRound(entry) => self.tell_round(entry),
-            Event::AskStore(entry) => self.ask_store(entry),
-            Event::Dies(entry) => self.instances[entry].is_alive = false,
+            Event::DatagramRound(entry) => self.send_round(entry),
+            Event::PollStore(entry) => self.poll_store(entry),
+            Event::Crashes(entry) => self.instances[entry].is_alive = false,
         }
     }
 
     /// Lets the processor of an entry work.
     pub(super) fn work(&mut self, entry: usize, cost_us: u64, work: Work) {
         let done_us = self.instances[entry].processor.work(cost_us, self.now_us);
-        self.queue.schedule(done_us, Event::Worked { entry, work });
+        self.queue
+            .schedule(done_us, Event::WorkDone { entry, work });
     }
 
-    fn worked(&mut self, entry: usize, work: Work) {
+    fn finish_work(&mut self, entry: usize, work: Work) {
         if !self.instances[entry].is_alive {
             return;
         }
@@ -214,8 +215,8 @@
                 call,
                 request,
             } => self.answer(entry, asker, call, request),
-            Work::TakeReply { call, reply } => self.take_reply(entry, call, reply),
-            Work::Adopt { call, arrived } => self.adopt_arrived(entry, call, &arrived),
+            Work::HandleReply { call, reply } => self.handle_reply(entry, call, reply),
+            Work::Adopt { call, received } => self.adopt_received(entry, call, &received),
             Work::AdoptStored(version) => self.adopt_stored(entry, version),
         }
     }
@@ -223,12 +224,14 @@
     /// Sends a message over the sender's link.
     pub(super) fn send(&mut self, message: Message) {
         let sent_us = match message.from {
-            End::Store => self.store_link.carry(message.bytes, self.now_us),
-            End::Entry(entry) if !self.instances[entry].is_alive => return,
-            End::Entry(entry) => self.instances[entry].link.carry(message.bytes, self.now_us),
+            Endpoint::Store => self.store_link.transfer(message.bytes, self.now_us),
+            Endpoint::Entry(entry) if !self.instances[entry].is_alive => return,
+            Endpoint::Entry(entry) => self.instances[entry]
+                .link
+                .transfer(message.bytes, self.now_us),
         };
         self.queue
-            .schedule(sent_us + LATENCY_US, Event::Reaches(message));
+            .schedule(sent_us + LATENCY_US, Event::ReachedLink(message));
     }
 
     fn reach(&mut self, message: Message) {
@@ -237,7 +240,7 @@
         }
         let received_us = self.instances[message.to]
             .link
-            .carry(message.bytes, self.now_us);
+            .transfer(message.bytes, self.now_us);
         self.queue.schedule(received_us, Event::Received(message));
     }
 
@@ -256,24 +259,26 @@
     fn receive(&mut self, message: Message) {
         let instance = &mut self.instances[message.to];
         match message.from {
-            End::Store => instance.store_bytes += message.bytes as u64,
-            End::Entry(_) => instance.peer_bytes += message.bytes as u64,
+            Endpoint::Store => instance.store_bytes += message.bytes as u64,
+            Endpoint::Entry(_) => instance.peer_bytes += message.bytes as u64,
         }
         match (message.payload, message.from) {
-            (Payload::News(rows), End::Entry(_)) => self.hear(message.to, &rows),
-            (Payload::Ask { call, request }, End::Entry(asker)) => {
-                self.hear_question(message.to, asker, call, request);
+            (Payload::Datagram(rows), Endpoint::Entry(_)) => {
+                self.receive_datagram(message.to, &rows)
+            }
+            (Payload::Ask { call, request }, Endpoint::Entry(asker)) => {
+                self.receive_request(message.to, asker, call, request);
             }
-            (Payload::Segment { transfer }, _) => self.take_segment(transfer),
+            (Payload::Segment { transfer }, _) => self.receive_segment(transfer),
             _ => {}
         }
     }
 
     /// Begins an answer that takes `bytes` beside its envelope.
-    pub(super) fn begin_answer(&mut self, bytes: usize, answer: AnswerUnderWay) {
-        self.answers_begun += 1;
-        let transfer = self.answers_begun;
-        let answer = AnswerUnderWay {
+    pub(super) fn begin_answer(&mut self, bytes: usize, answer: AnswerInFlight) {
+        self.answers_started += 1;
+        let transfer = self.answers_started;
+        let answer = AnswerInFlight {
             unsent_bytes: bytes + ENVELOPE_BYTES,
             ..answer
         };
@@ -292,7 +297,7 @@
             return;
         }
         answer.unsent_bytes -= bytes;
-        answer.segments_under_way += 1;
+        answer.segments_in_flight += 1;
         let message = Message {
             from: answer.from,
             to: answer.to,
@@ -302,14 +307,14 @@
         self.send(message);
     }
 
-    fn take_segment(&mut self, transfer: u64) {
+    fn receive_segment(&mut self, transfer: u64) {
         let Some(answer) = self.answers.get_mut(&transfer) else {
             return;
         };
-        answer.segments_under_way -= 1;
+        answer.segments_in_flight -= 1;
         let (to, call, from) = (answer.to, answer.call, answer.from);
-        let is_through = answer.unsent_bytes == 0 && answer.segments_under_way == 0;
-        if !self.is_wanted(to, call, from) {
+        let is_through = answer.unsent_bytes == 0 && answer.segments_in_flight == 0;
+        if !self.is_awaited(to, call, from) {
             self.answers.remove(&transfer);
             return;
         }
@@ -318,22 +323,22 @@
             return;
         }
         if let Some(answer) = self.answers.remove(&transfer) {
-            self.take_answer(to, call, answer.reply);
+            self.deliver_answer(to, call, answer.reply);
         }
     }
 
     /// Whether an answer is still waited for. Of one that is not no further segment is sent.
-    fn is_wanted(&self, to: usize, call: u64, from: End) -> bool {
+    fn is_awaited(&self, to: usize, call: u64, from: Endpoint) -> bool {
         match from {
-            End::Store => self.instances[to].waits_for_store,
-            End::Entry(_) => self.awaits(to, call),
+            Endpoint::Store => self.instances[to].waits_for_store,
+            Endpoint::Entry(_) => self.awaits(to, call),
         }
     }
 
-    fn take_answer(&mut self, to: usize, call: u64, reply: Reply) {
+    fn deliver_answer(&mut self, to: usize, call: u64, reply: Reply) {
         match reply {
-            Reply::Stored(version) => self.take_stored(to, version),
-            reply => self.hear_reply(to, call, reply),
+            Reply::Stored(version) => self.receive_stored(to, version),
+            reply => self.receive_reply(to, call, reply),
         }
     }
 
@@ -347,16 +352,16 @@
             BundleVersion::NONE => 0,
             held => self.history.delta(held, version).size(),
         };
-        self.note_wait(entry);
+        self.record_wait(entry);
         self.instances[entry].put_in_force(version, size);
         if version == self.last_version() {
             self.in_force_us[entry] = Some(self.now_us);
         }
-        self.tell(entry, true);
+        self.send_datagrams(entry, true);
     }
 
     /// Takes in how long an entry has known of a newer version and got none.
-    fn note_wait(&mut self, entry: usize) {
+    fn record_wait(&mut self, entry: usize) {
         let now = self.now();
         let instance = &mut self.instances[entry];
         let waited = instance.lag.behind_for(now).unwrap_or_default();
@@ -364,15 +369,15 @@
     }
 
     /// Takes in how much memory an entry needs while it takes a version.
-    pub(super) fn note_memory(&mut self, entry: usize, to: BundleVersion, came_bytes: usize) {
+    pub(super) fn record_memory(&mut self, entry: usize, to: BundleVersion, received_bytes: usize) {
         let held = self.instances[entry].held;
         let routes = self.history.routes(held) + self.history.routes(to);
         let held_bytes = routes as u64 * self.plan.costs.held_bytes;
         let text_bytes = self.history.body_bytes(to) as u64;
         let instance = &mut self.instances[entry];
-        let changes = instance.changes_kept() as u64 * self.plan.costs.held_bytes;
-        let kept_bytes = instance.package_bytes() as u64 + came_bytes as u64;
-        let bytes = held_bytes + text_bytes + changes + kept_bytes;
+        let changes = instance.retained_changes() as u64 * self.plan.costs.held_bytes;
+        let buffered_bytes = instance.package_bytes() as u64 + received_bytes as u64;
+        let bytes = held_bytes + text_bytes + changes + buffered_bytes;
         instance.memory_peak_bytes = instance.memory_peak_bytes.max(bytes);
     }
 }
