--- a/crates/pinhaven-lab/src/check.rs
+++ b/crates/pinhaven-lab/src/check.rs
@@ -1,12 +1,13 @@
-//! What must hold after any run, whatever went wrong in it.
+//! Checks that must pass after every run, whichever faults were injected.
 
 use crate::lab::Lab;
 use pinhaven_stand_in::caller::CallerReport;
 
-/// The faults found in what callers were told; none if all is well.
+/// Faults found in the report of a caller; empty if there are none.
 ///
-/// Every answer was whole and its caller's own; every once-only request that was reported to have run ran
-/// once, every one that was reported not to have run did not, and no other ran more than once.
+/// Every answer must be complete and belong to its request, and every refusal must name a retry delay. A once-only
+/// request that was reported as executed must have run exactly once, a request reported as not executed must not have
+/// run, and any other request must have run at most once.
 pub async fn faults_of_report(lab: &Lab, service: usize, report: &CallerReport) -> Vec<String> {
     let mut faults = Vec::new();
     for (kind, class) in [("repeatable", &report.repeatable), ("once", &report.once)] {
@@ -16,7 +17,7 @@
         if class.without_retry_after > 0 {
             let count = class.without_retry_after;
             faults.push(format!(
-                "{count} {kind} refusals did not say when to come back"
+                "{count} {kind} refusals did not name a retry delay"
             ));
         }
     }
@@ -30,7 +31,7 @@
         };
         if !is_right {
             faults.push(format!(
-                "{key} was reported to be {reported} and ran {count} times"
+                "{key} was reported as {reported} and ran {count} times"
             ));
         }
     }
@@ -42,7 +43,7 @@
     faults
 }
 
-/// The promises that entries saw broken; none if all is well.
+/// Promises that entries saw broken; empty if there are none.
 pub async fn broken_promises(lab: &Lab) -> Vec<String> {
     let broken = lab.promises_broken().await;
     broken
--- a/crates/pinhaven-lab/src/demo.rs
+++ b/crates/pinhaven-lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: a small deployment that serves requests from end to end.
+//! Demo: a small deployment that serves requests end to end.
 
 use crate::lab::Lab;
 use crate::lab::LabError;
@@ -11,20 +11,21 @@
 use pinhaven_stand_in::caller::CallerSettings;
 use pinhaven_stand_in::caller::ClassReport;
 
-/// Entries of the demo.
+/// Number of entries.
 const ENTRIES: usize = 4;
-/// Requests a second to each service.
+/// Requests per second to each service.
 const RATE_PER_S: f64 = 200.0;
-/// Time that requests are sent for, in milliseconds.
+/// Duration of the load, in milliseconds.
 const DURATION_MS: u64 = 4_000;
-/// Share of requests that may not be repeated, in percent.
+/// Share of once-only requests, in percent.
 const ONCE_PERCENT: u8 = 25;
 
-/// Runs the demo; whether every answer was whole and its caller's own.
+/// Runs the demo and prints its results. Returns whether every answer was complete and belonged to its request, every
+/// once-only request ran as often as reported, and no promise was broken.
 ///
 /// # Errors
 ///
-/// [`LabError`] when the deployment can't be started.
+/// [`LabError`] if the deployment can't be started.
 pub async fn run() -> Result<bool, LabError> {
     let services = vec![
         ServicePlan::new("quote", 6, 6, 10.0),
@@ -77,7 +78,7 @@
     Ok(is_clean && broken == 0)
 }
 
-/// Whether every once-only request ran as often as its caller was told.
+/// Whether every once-only request ran as often as reported to its caller.
 async fn ran_once(lab: &Lab, service: usize, report: &CallerReport) -> bool {
     let runs = lab.runs(service).await;
     report.once_said.iter().all(|(key, reported)| {
--- a/crates/pinhaven-lab/src/lab/bundles.rs
+++ b/crates/pinhaven-lab/src/lab/bundles.rs
@@ -1,4 +1,4 @@
-//! The bundles of a lab: written, signed off and rolled as an operator does.
+//! Bundles of a lab: built from the plan, signed and rolled with the operator's commands.
 
 use super::Lab;
 use super::LabError;
@@ -23,7 +23,7 @@
         Ok(())
     }
 
-    /// A bundle of the next version with all services of the plan.
+    /// Builds a bundle of the next version with all services of the plan.
     pub fn bundle(&self) -> Value {
         let services: Vec<Value> = self
             .plan
@@ -39,11 +39,11 @@
         })
     }
 
-    /// Signs a bundle off and rolls it.
+    /// Signs and rolls a bundle.
     ///
     /// # Errors
     ///
-    /// [`LabError`] with the command's output when it is refused.
+    /// [`LabError`] with the command's error output if the command fails.
     pub fn roll(&mut self, bundle: &Value) -> Result<(), LabError> {
         let signed = self.sign(bundle, SIGNER)?;
         self.roll_signed(&signed)?;
@@ -51,11 +51,11 @@
         Ok(())
     }
 
-    /// Signs a bundle off; gives the file with the signed bundle.
+    /// Signs a bundle and returns the path of the signed file.
     ///
     /// # Errors
     ///
-    /// [`LabError`] with the command's output when it is refused.
+    /// [`LabError`] with the command's error output if the command fails.
     pub fn sign(&self, bundle: &Value, signer: &str) -> Result<PathBuf, LabError> {
         let number = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
         let file = self.folder.join(format!("bundle-{number}.json"));
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// [`LabError`] with the command's output when it is refused.
+    /// [`LabError`] with the command's error output if the command fails.
     pub fn roll_signed(&self, signed: &Path) -> Result<(), LabError> {
         let table = self.platform.to_string();
         let signed = signed.display().to_string();
--- a/crates/pinhaven-lab/src/lab/entries.rs
+++ b/crates/pinhaven-lab/src/lab/entries.rs
@@ -1,4 +1,4 @@
-//! The entries of a lab: started, found and ended.
+//! Entry processes of a lab: start, access and kill.
 
 use super::Lab;
 use super::LabError;
@@ -12,26 +12,26 @@
 use std::net::TcpListener;
 
 impl Lab {
-    /// Name of the entry with an index.
+    /// Instance id of the entry with an index.
     pub fn entry_name(index: usize) -> String {
         format!("entry-{index}")
     }
 
-    /// Starts the entry with an index, anew if it ran before.
+    /// Starts the entry with an index, replacing an earlier process.
     ///
     /// # Errors
     ///
-    /// [`LabError`] when the process can't be started.
+    /// [`LabError`] if the process can't be started.
     pub fn start_entry(&mut self, index: usize) -> Result<(), LabError> {
         self.start_entry_process(index, &json!({}))
     }
 
-    /// Starts an entry with more settings at a peer address that is known beforehand, so that it can
-    /// be asked while the platform is down.
+    /// Starts an entry with additional settings and returns its peer address. The address is chosen before the start,
+    /// so that the entry can be queried while the platform is unavailable.
     ///
     /// # Errors
     ///
-    /// [`LabError`] when the process can't be started.
+    /// [`LabError`] if the process can't be started.
     pub fn start_entry_with(
         &mut self,
         index: usize,
@@ -47,11 +47,11 @@
         Ok(address)
     }
 
-    /// Where the entry with an index listened for peers when the lab last looked.
+    /// Last known peer address of the entry with an index.
     ///
     /// # Panics
     ///
-    /// Panics when it was never ready.
+    /// Panics if the entry's peer address was never known.
     pub fn peer_address(&self, index: usize) -> SocketAddr {
         self.peer_addresses[&Self::entry_name(index)]
     }
@@ -93,40 +93,40 @@
         Ok(())
     }
 
-    /// The process of the entry with an index.
+    /// Process of the entry with an index.
     ///
     /// # Panics
     ///
-    /// Panics when it was never started.
+    /// Panics if the entry is not started.
     pub fn entry(&mut self, index: usize) -> &mut Process {
         let name = Self::entry_name(index);
         let process = self.entries.get_mut(&name);
-        process.unwrap_or_else(|| panic!("{name} was never started"))
+        process.unwrap_or_else(|| panic!("{name} is not started"))
     }
 
-    /// The processes of all entries.
+    /// Processes of all entries.
     pub fn entry_processes(&self) -> impl Iterator<Item = &Process> {
         self.entries.values()
     }
 
-    /// Freezes, lets go or ends the targets of the service with this index.
+    /// Process that runs all targets of the service with an index.
     pub fn target_process(&mut self, service: usize) -> &mut Process {
         &mut self.target_processes[service]
     }
 
-    /// Processor time of all entries so far, in seconds.
+    /// Total processor time of all entries so far, in seconds.
     pub fn entries_cpu_s(&self) -> f64 {
         let times = self.entry_processes().map(Process::cpu_time);
         times.map(|time| time.as_secs_f64()).sum()
     }
 
-    /// Memory of the entry that holds most, in millions of bytes.
+    /// Largest resident memory of an entry, in megabytes.
     pub fn entry_memory_mb(&self) -> f64 {
         let memory_max = self.entry_processes().map(Process::memory_bytes).max();
         memory_max.unwrap_or_default() as f64 / 1e6
     }
 
-    /// Kills the entry with an index and forgets it.
+    /// Kills the entry with an index and removes its process.
     pub fn kill_entry(&mut self, index: usize) {
         self.entries.remove(&Self::entry_name(index));
     }
--- a/crates/pinhaven-lab/src/lab/error.rs
+++ b/crates/pinhaven-lab/src/lab/error.rs
@@ -1,13 +1,13 @@
-//! Why a lab could not do something.
+//! Error of a lab.
 
 use std::fmt;
 
-/// Why a lab could not do something.
+/// Error of a lab: a message with the failed step.
 #[derive(Debug)]
 pub struct LabError(String);
 
 impl LabError {
-    /// An error with a message.
+    /// Creates an error with a message.
     pub fn new(message: impl fmt::Display) -> Self {
         Self(message.to_string())
     }
--- a/crates/pinhaven-lab/src/lab/mod.rs
+++ b/crates/pinhaven-lab/src/lab/mod.rs
@@ -1,4 +1,4 @@
-//! A running lab.
+//! Lab: a running deployment of a platform, targets and entries.
 
 mod bundles;
 mod entries;
@@ -19,7 +19,7 @@
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
 
-/// Processes that make up a small deployment.
+/// Small deployment of real processes, which are killed on drop.
 pub struct Lab {
     plan: LabPlan,
     folder: PathBuf,
@@ -37,11 +37,11 @@
 static NEXT_FOLDER: AtomicU32 = AtomicU32::new(0);
 
 impl Lab {
-    /// Starts everything that a plan names, rolls its first bundle and waits until it serves.
+    /// Starts all processes of a plan, rolls the first bundle and waits until all entries are ready.
     ///
     /// # Errors
     ///
-    /// [`LabError`] when a process can't be started or does not become ready.
+    /// [`LabError`] if a process can't be started or does not become ready.
     pub async fn start(plan: LabPlan) -> Result<Self, LabError> {
         let number = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
         let folder =
@@ -51,7 +51,7 @@
             start_stand_in(&folder, "platform", vec!["platform".to_owned()])?;
         let platform = *addresses
             .first()
-            .ok_or_else(|| LabError::new("the platform told no address"))?;
+            .ok_or_else(|| LabError::new("the platform printed no address"))?;
         let mut lab = Self {
             plan,
             folder,
@@ -98,7 +98,7 @@
         Ok(())
     }
 
-    /// The plan.
+    /// Plan of this lab.
     pub fn plan(&self) -> &LabPlan {
         &self.plan
     }
@@ -108,31 +108,31 @@
         &self.folder
     }
 
-    /// Where the platform listens.
+    /// Address of the platform.
     pub fn platform(&self) -> SocketAddr {
         self.platform
     }
 
-    /// Targets of the service with this index in the plan.
+    /// Addresses of the targets of the service with an index in the plan.
     pub fn targets(&self, service: usize) -> &[SocketAddr] {
         &self.targets[service]
     }
 
-    /// Version of the last bundle that was rolled.
+    /// Version of the newest rolled bundle.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes over that another version is the newest.
+    /// Sets the newest version, for a roll made without [`Lab::roll`].
     pub fn set_version(&mut self, version: u64) {
         self.version = version;
     }
 
-    /// Runs a `pinhaven` command that needs the platform; gives its output.
+    /// Runs a `pinhaven` command with the platform's address and returns the command's standard output.
     ///
     /// # Errors
     ///
-    /// [`LabError`] with the command's output when it fails.
+    /// [`LabError`] with the command's error output if the command fails.
     pub fn command(&self, words: &[&str]) -> Result<String, LabError> {
         let table = self.platform.to_string();
         let mut all = words.to_vec();
@@ -144,7 +144,7 @@
 impl Drop for Lab {
     fn drop(&mut self) {
         if !std::thread::panicking() {
-            // A folder that can't be removed is left to the system's cleaning.
+            // A folder that can't be removed stays in the system's temporary folder.
             let _ = std::fs::remove_dir_all(&self.folder);
         }
     }
@@ -160,7 +160,7 @@
     let (process, line) =
         started.map_err(|error| LabError::new(format!("starting {name}: {error}")))?;
     let addresses = serde_json::from_str(&line)
-        .map_err(|error| LabError::new(format!("{name} told no addresses: {error}")))?;
+        .map_err(|error| LabError::new(format!("reading the addresses of {name}: {error}")))?;
     Ok((process, addresses))
 }
 
--- a/crates/pinhaven-lab/src/lab/observe.rs
+++ b/crates/pinhaven-lab/src/lab/observe.rs
@@ -1,4 +1,4 @@
-//! Looking at a lab, and waiting until something has come about.
+//! Queries to the processes of a lab, and waits for a condition.
 
 use super::Lab;
 use super::LabError;
@@ -19,21 +19,21 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// How long a lab waits for something to come about.
+/// Maximum time to wait for a condition.
 const WAIT_MAX: Duration = Duration::from_secs(30);
-/// How often it looks, in milliseconds.
+/// Interval between two checks of a condition, in milliseconds.
 const POLL_MS: u64 = 20;
-/// How long a call to a process may take, in milliseconds.
+/// Timeout of a call to a process, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 5_000;
 
 impl Lab {
-    /// A counter, summed over all entries that answer.
+    /// Sum of a counter over all entries that answer.
     pub async fn counter(&self, name: &str) -> u64 {
         let statuses = self.statuses().await;
         statuses.iter().filter_map(|s| s.counters.get(name)).sum()
     }
 
-    /// What the platform's list says of the entries.
+    /// Rows of all entries in the platform's list; empty if the platform is unavailable.
     pub async fn rows(&self) -> Vec<MemberRow> {
         let table = HttpTableService::new(self.platform, CALL_TIMEOUT_MS);
         let rows = table.list(ENTRY_PREFIX).await.unwrap_or_default();
@@ -42,7 +42,7 @@
             .collect()
     }
 
-    /// What the platform's list says of the entry with an index.
+    /// Row of the entry with an index in the platform's list.
     pub async fn row(&self, index: usize) -> Option<MemberRow> {
         let name = Self::entry_name(index);
         let rows = self.rows().await;
@@ -50,7 +50,7 @@
             .find(|row| row.instance_id.as_str() == name)
     }
 
-    /// Where callers reach the entries that run; as they were at the start while the platform is down.
+    /// Caller addresses of the running entries, or the addresses at the lab's start if the platform lists no entries.
     pub async fn caller_addresses(&self) -> Vec<SocketAddr> {
         let rows = self.rows().await;
         if rows.is_empty() {
@@ -62,25 +62,25 @@
             .collect()
     }
 
-    /// The status of the entry with an index, if it answers.
+    /// Status of the entry with an index, if the entry answers.
     pub async fn status(&self, index: usize) -> Option<InstanceStatus> {
         let row = self.row(index).await?;
         get(row.peer_address, "/status").await
     }
 
-    /// The version in force at the entry that listens for peers at an address.
+    /// Version in force at the entry with a peer address, if the entry answers.
     pub async fn version_at(&self, peer: SocketAddr) -> Option<u64> {
         let status: InstanceStatus = get(peer, "/status").await?;
         Some(status.own.version.number())
     }
 
-    /// The state of the entry that listens for peers at an address.
+    /// State of the entry with a peer address, if the entry answers.
     pub async fn state_at(&self, peer: SocketAddr) -> Option<MemberState> {
         let status: InstanceStatus = get(peer, "/status").await?;
         Some(status.own.state)
     }
 
-    /// The statuses of all entries that answer.
+    /// Statuses of all entries that answer.
     pub async fn statuses(&self) -> Vec<InstanceStatus> {
         let mut statuses = Vec::new();
         for row in self.rows().await {
@@ -91,11 +91,11 @@
         statuses
     }
 
-    /// Waits until every entry that runs is ready and knows all others.
+    /// Waits until every running entry is ready and knows all others as ready.
     ///
     /// # Errors
     ///
-    /// [`LabError`] when that takes too long.
+    /// [`LabError`] if the condition does not hold in time.
     pub async fn wait_until_ready(&self) -> Result<(), LabError> {
         let count = self.entries.len();
         self.wait_for("all entries to be ready", async || {
@@ -112,11 +112,11 @@
         .await
     }
 
-    /// Waits until the version that was rolled last is in force at every entry that runs.
+    /// Waits until the last rolled version is in force at every running entry.
     ///
     /// # Errors
     ///
-    /// [`LabError`] when that takes too long.
+    /// [`LabError`] if the condition does not hold in time.
     pub async fn wait_until_in_force(&self) -> Result<(), LabError> {
         let count = self.entries.len();
         let version = self.version;
@@ -130,11 +130,11 @@
         .await
     }
 
-    /// Waits until the entries of the start have a version, without asking the platform.
+    /// Waits until a version is in force at all entries with a known peer address, without querying the platform.
     ///
     /// # Errors
     ///
-    /// [`LabError`] when that takes too long.
+    /// [`LabError`] if the condition does not hold in time.
     pub async fn wait_until_all_have(&self, version: u64) -> Result<(), LabError> {
         self.wait_for("the version to be in force", async || {
             for peer in self.peer_addresses.values() {
@@ -151,11 +151,11 @@
         .await
     }
 
-    /// Waits until something holds.
+    /// Waits until a condition holds. `what` names the condition in the error.
     ///
     /// # Errors
     ///
-    /// [`LabError`] when that takes too long.
+    /// [`LabError`] if the condition does not hold in time.
     pub async fn wait_for(
         &self,
         what: &str,
@@ -174,7 +174,7 @@
         )))
     }
 
-    /// How often each key ran, over all targets of a service.
+    /// Number of executions by idempotency key, over all targets of a service.
     pub async fn runs(&self, service: usize) -> BTreeMap<String, u32> {
         let mut runs = BTreeMap::new();
         for target in self.targets(service) {
@@ -186,7 +186,7 @@
         runs
     }
 
-    /// How often promises were seen broken, over all entries that answer.
+    /// Number of violations by promise, over all entries that answer.
     pub async fn promises_broken(&self) -> BTreeMap<String, u64> {
         let mut broken = BTreeMap::new();
         for status in self.statuses().await {
@@ -197,7 +197,7 @@
         broken
     }
 
-    /// What one target has done.
+    /// Counts of one target; all zero if the target doesn't answer.
     pub async fn target_counts(&self, target: SocketAddr) -> TargetCounts {
         get(target, "/counts").await.unwrap_or_default()
     }
--- a/crates/pinhaven-lab/src/lib.rs
+++ b/crates/pinhaven-lab/src/lib.rs
@@ -1,7 +1,9 @@
 //! Starts real processes for the demo, the measurements and the failure tests.
 //!
-//! A [`Lab`] has a platform, targets and entries, each a process of its own on the loopback interface
-//! with ports that the kernel picks. Everything it started ends with it.
+//! A [`Lab`] consists of a platform, targets and entries. Each is a separate process on the loopback interface, with
+//! ports chosen by the kernel. Dropping the lab kills all its processes.
+//!
+//! [`emulate`] and [`versions`] run the decision logic in emulated time instead, without other processes.
 
 pub mod check;
 pub mod demo;
--- a/crates/pinhaven-lab/src/main.rs
+++ b/crates/pinhaven-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The demo and the measurements, as commands.
+//! Commands for the demo, the soak, the emulations and the measurements.
 
 use clap::Args;
 use clap::Parser;
@@ -23,7 +23,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Threads of the lab's own process.
+/// Worker threads of the lab process.
 const THREADS: usize = 3;
 
 /// Small deployments of real processes on this machine.
@@ -35,58 +35,58 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serve requests from end to end and print what came of them.
+    /// Serve requests end to end and print the results.
     Demo,
-    /// Run random faults for a while and say whether anything that must hold did not.
+    /// Inject random faults and print every violated check.
     Soak {
-        /// Seed of the faults.
+        /// Seed of the random faults.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Minutes.
+        /// Duration in minutes.
         #[arg(long, default_value_t = 1.0)]
         minutes: f64,
     },
-    /// Play the decisions against emulated targets, in emulated time.
+    /// Run the decision logic against emulated targets, in emulated time.
     Emulate {
-        /// Only these days.
+        /// Run only these days.
         #[arg(long, value_enum, value_delimiter = ',')]
         days: Vec<Day>,
-        /// Only this deployment.
+        /// Run only this deployment.
         #[arg(long, value_enum)]
         deployment: Option<Deployment>,
-        /// Policies, by their names in a bundle.
+        /// Policies by their names in a bundle.
         #[arg(long, value_delimiter = ',', default_value = "two_choices,forecast")]
         policies: Vec<String>,
-        /// Seed of everything drawn.
+        /// Seed of all random choices.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Load, as a share of what all slots of the targets that are not slow do.
+        /// Load as a share of the throughput of all slots of targets that are not slow.
         #[arg(long)]
         load: Option<f64>,
-        /// Age of a report at which a target is probed, in milliseconds; 0 for never.
+        /// Age of a report at which the target is probed, in milliseconds; 0 disables probes.
         #[arg(long)]
         probe_ms: Option<f64>,
-        /// Time between two rounds of news, in milliseconds.
+        /// Interval between two rounds of datagrams among entries, in milliseconds.
         #[arg(long)]
         news_ms: Option<f64>,
-        /// Entries that serve.
+        /// Number of entries.
         #[arg(long)]
         entries: Option<usize>,
     },
-    /// Send versions to all entries, in emulated time, and print when they are in force.
+    /// Distribute versions to all entries, in emulated time, and print when the versions are in force.
     Versions(VersionsArguments),
-    /// Measure, and write the results to a folder.
+    /// Run measurements and write the results to a folder.
     Measure {
-        /// Only this part.
+        /// Run only this part.
         #[arg(long, value_enum)]
         part: Option<Part>,
-        /// Only cases whose names contain one of these, or end with one that ends in `$`.
+        /// Run only cases whose name contains one of these texts, or ends with it if the text ends in `$`.
         #[arg(long, value_delimiter = ',')]
         only: Vec<String>,
-        /// Runs of each case.
+        /// Number of runs per case.
         #[arg(long, default_value_t = 5)]
         runs: u64,
-        /// Time of each run, in milliseconds.
+        /// Duration of each run, in milliseconds.
         #[arg(long, default_value_t = 6_000)]
         run_ms: u64,
         /// Folder for the results.
@@ -97,33 +97,33 @@
 
 #[derive(Debug, Args)]
 struct VersionsArguments {
-    /// Routes, or routes that a version adds.
+    /// Number of routes, or of routes that a version adds.
     #[arg(long, value_delimiter = ',', default_value = "100,1000,5000,20000")]
     routes: Vec<usize>,
-    /// Entries.
+    /// Number of entries.
     #[arg(long, value_delimiter = ',', default_value = "18,100,300")]
     entries: Vec<usize>,
-    /// Links, in megabits a second.
+    /// Rate of each entry's link, in megabits per second.
     #[arg(long, value_delimiter = ',', default_value = "10,200")]
     link_mbps: Vec<f64>,
-    /// Only these changes.
+    /// Run only these changes.
     #[arg(long, value_enum, value_delimiter = ',')]
     change: Vec<VersionChange>,
-    /// Only these ways for versions to travel.
+    /// Run only these transfers of versions between entries.
     #[arg(long, value_enum, value_delimiter = ',')]
     transfer: Vec<Transfer>,
-    /// Time after which a run ends, in seconds.
+    /// Time limit of a run after the last acknowledgement, in seconds.
     #[arg(long, default_value_t = 60)]
     limit_s: u64,
-    /// Measure what each step costs instead of taking the usual figures.
+    /// Measure the cost of each step instead of using the default costs.
     #[arg(long)]
     measure_costs: bool,
-    /// Seed of everything drawn.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// Plays all combinations of the arguments and prints them.
+/// Runs all combinations of the arguments and prints a table of the results.
 fn print_versions(arguments: &VersionsArguments) {
     let costs = match arguments.measure_costs {
         true => Costs::measure(),
@@ -143,7 +143,7 @@
     pinhaven_lab::print_table(&versions::HEADS, &rows);
 }
 
-/// The plans of all sizes of the arguments.
+/// Plans for all link rates and numbers of routes and entries in the arguments.
 fn plans_for_sizes(
     arguments: &VersionsArguments,
     change: VersionChange,
@@ -165,7 +165,7 @@
     plans
 }
 
-/// The given values, or all values of the type if none is given.
+/// The given values, or all values of the type if none are given.
 fn selected<T: ValueEnum>(values: &[T]) -> Vec<T> {
     match values.is_empty() {
         true => T::value_variants().to_vec(),
@@ -178,7 +178,7 @@
     name.map_or_else(String::new, |name| name.get_name().to_owned())
 }
 
-/// Prints what a soak found; whether it found nothing.
+/// Prints the report of a soak and returns whether the soak found no faults.
 fn print_soak(seed: u64, report: &SoakReport) -> bool {
     println!("Seed {seed}, {} steps:", report.steps.len());
     for step in &report.steps {
@@ -200,7 +200,7 @@
     report.faults.is_empty()
 }
 
-/// Plays all combinations of the arguments and prints them; whether all policies have names.
+/// Runs all combinations of the arguments and prints a table of the results. Returns `false` for an unknown policy.
 fn print_emulations(
     days: &[Day],
     deployment: Option<Deployment>,
@@ -284,7 +284,7 @@
     match outcome {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
-            eprintln!("error: something did not hold; see above");
+            eprintln!("error: a check failed; see the output above");
             ExitCode::FAILURE
         }
         Err(error) => {
--- a/crates/pinhaven-lab/src/plan.rs
+++ b/crates/pinhaven-lab/src/plan.rs
@@ -1,28 +1,28 @@
-//! What a lab is made of.
+//! Plan of a lab: its services, targets and entries.
 
 use serde_json::Value;
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// A service and its targets.
+/// Service with its targets.
 #[derive(Debug, Clone)]
 pub struct ServicePlan {
-    /// Name of the service, also its host.
+    /// Name of the service, also used as its host.
     pub name: String,
-    /// Targets.
+    /// Number of targets.
     pub targets: u64,
-    /// Requests that a target works on at a time.
+    /// Number of requests that a target processes concurrently.
     pub slots: usize,
-    /// Mean time of a request, in milliseconds.
+    /// Mean service time of a request, in milliseconds.
     pub mean_ms: f64,
-    /// Spread of the service time.
+    /// Sigma of the service time distribution.
     pub sigma: f64,
-    /// Fields of the service in the bundle that differ from the defaults.
+    /// Fields of the service in the bundle that override the defaults.
     pub bundle: Value,
 }
 
 impl ServicePlan {
-    /// A service with the defaults of the bundle.
+    /// Creates a service with the default bundle fields.
     pub fn new(name: &str, targets: u64, slots: usize, mean_ms: f64) -> Self {
         Self {
             name: name.to_owned(),
@@ -42,7 +42,7 @@
         self
     }
 
-    /// The service as the bundle spells it.
+    /// Builds the service's entry in the bundle.
     pub fn to_bundle(&self, targets: &[SocketAddr], domains: &[String]) -> Value {
         let targets: Vec<Value> = targets
             .iter()
@@ -72,25 +72,25 @@
     }
 }
 
-/// A whole lab.
+/// Parameters of a lab.
 #[derive(Debug, Clone)]
 pub struct LabPlan {
     /// Failure domains.
     pub domains: Vec<String>,
-    /// Entry instances, spread over the domains.
+    /// Number of entries, distributed among the failure domains.
     pub entries: usize,
     /// Services.
     pub services: Vec<ServicePlan>,
-    /// Fields of each entry's settings that differ from the defaults.
+    /// Fields of each entry's settings that override the defaults.
     pub settings: Value,
-    /// Time that callers keep an address answer, in milliseconds.
+    /// Time that callers cache the answer to an address query, in milliseconds.
     pub address_keep_ms: u64,
-    /// Seed of the targets.
+    /// Seed of the targets' service times.
     pub seed: u64,
 }
 
 impl LabPlan {
-    /// A lab with three failure domains.
+    /// Creates a lab with three failure domains.
     pub fn new(entries: usize, services: Vec<ServicePlan>) -> Self {
         Self {
             domains: ["a", "b", "c"]
@@ -112,7 +112,7 @@
         self
     }
 
-    /// Sets the seed of the targets.
+    /// Sets the seed of the targets' service times.
     pub fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
--- a/crates/pinhaven-lab/src/process.rs
+++ b/crates/pinhaven-lab/src/process.rs
@@ -1,4 +1,4 @@
-//! One process that a lab started.
+//! Child process of a lab.
 
 use pinhaven_runtime::sleep_ms;
 use rustix::process::Pid;
@@ -14,24 +14,25 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Clock ticks a second in `/proc`.
+/// Clock ticks per second in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
-/// How often an ending process is looked at, in milliseconds.
+/// Interval between two checks whether a process has exited, in milliseconds.
 const POLL_MS: u64 = 10;
-/// Bytes of a memory page.
+/// Bytes per memory page.
 const PAGE_BYTES: u64 = 4096;
 
-/// A process that ends with its owner.
+/// Child process that is killed on drop.
 pub struct Process {
     child: Child,
 }
 
 impl Process {
-    /// Starts a program and gives its first line of output, if `reads_line`.
+    /// Starts a program that writes its output to a log file. If `reads_line` is set, standard output is piped instead
+    /// and its first line is returned.
     ///
     /// # Errors
     ///
-    /// The system's error when the program can't be started.
+    /// The I/O error if the log can't be opened, the program can't be started or its first line can't be read.
     pub fn start(
         program: &Path,
         arguments: &[String],
@@ -60,39 +61,39 @@
         Ok((process, line))
     }
 
-    /// A program that was built beside this one.
+    /// Path of a program in the build folder of the current one.
     pub fn program(name: &str) -> PathBuf {
         sibling(name)
     }
 
-    /// Kills the process without warning.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
-        // A process that has ended already needs no killing.
+        // Fails only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Freezes the process.
+    /// Pauses the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a paused process with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Tells the process that its settings have changed.
+    /// Requests with SIGHUP that the process reload its settings.
     pub fn signal_reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Asks the process to stop as planned.
+    /// Requests a planned stop with SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Waits for the process to end by itself; whether it did, and well.
+    /// Waits for the process to exit and returns whether it exited successfully; `None` if `wait_max` has passed.
     pub async fn wait(&mut self, wait_max: Duration) -> Option<bool> {
         let began = Instant::now();
         while began.elapsed() < wait_max {
@@ -104,7 +105,7 @@
         None
     }
 
-    /// Processor time so far.
+    /// Processor time used so far.
     pub fn cpu_time(&self) -> Duration {
         let path = format!("/proc/{}/stat", self.child.id());
         let text = std::fs::read_to_string(path).unwrap_or_default();
@@ -118,7 +119,7 @@
         Duration::from_secs_f64(ticks as f64 / TICKS_PER_S)
     }
 
-    /// Memory that the process holds, in bytes.
+    /// Resident memory of the process, in bytes.
     pub fn memory_bytes(&self) -> u64 {
         let path = format!("/proc/{}/statm", self.child.id());
         let text = std::fs::read_to_string(path).unwrap_or_default();
@@ -132,7 +133,7 @@
     fn signal(&self, signal: Signal) {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         if let Some(pid) = pid {
-            // A process that has ended already can't be signalled.
+            // Fails only if the process has already exited.
             let _ = kill_process(pid, signal);
         }
     }
@@ -144,7 +145,7 @@
     }
 }
 
-/// A program that was built beside this one.
+/// Path of a program in the build folder of the current one.
 pub(crate) fn sibling(name: &str) -> PathBuf {
     let own = std::env::current_exe().unwrap_or_default();
     let mut folder = own.parent().map(Path::to_path_buf).unwrap_or_default();
--- a/crates/pinhaven-lab/src/queue.rs
+++ b/crates/pinhaven-lab/src/queue.rs
@@ -1,9 +1,9 @@
-//! Events of emulated time, in their order.
+//! Event queue for emulated time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// An event and its time; those of one time come in the order in which they were planned.
+/// Event with its time. Events with equal times are ordered by `number`, the order in which they were scheduled.
 struct Scheduled<Event> {
     at_us: u64,
     number: u64,
@@ -30,7 +30,7 @@
     }
 }
 
-/// All events that are planned.
+/// Queue of scheduled events, ordered by time.
 pub(crate) struct Queue<Event> {
     events: BinaryHeap<Reverse<Scheduled<Event>>>,
     scheduled: u64,
@@ -46,7 +46,7 @@
 }
 
 impl<Event> Queue<Event> {
-    /// Plans an event, in microseconds of emulated time.
+    /// Schedules an event at a time in microseconds of emulated time.
     pub(crate) fn schedule(&mut self, at_us: u64, event: Event) {
         self.scheduled += 1;
         let number = self.scheduled;
@@ -57,7 +57,7 @@
         }));
     }
 
-    /// The next event and its time, in microseconds.
+    /// Removes the next event and returns it with its time, in microseconds.
     pub(crate) fn next(&mut self) -> Option<(u64, Event)> {
         let Reverse(next) = self.events.pop()?;
         Some((next.at_us, next.event))
--- a/crates/pinhaven-lab/src/soak.rs
+++ b/crates/pinhaven-lab/src/soak.rs
@@ -1,8 +1,8 @@
-//! A long randomised run of real processes: kills, pauses, planned stops, platform outages, lost
-//! answers, operator races and misbehaving targets, together and again and again.
+//! Soak test: a long run of real processes with random kills, pauses, planned stops, platform outages, lost answers,
+//! competing rolls by two operators, and misbehaving targets.
 //!
-//! The seed decides which faults come and in what order; a run prints it, and the same seed gives the
-//! same schedule again.
+//! The seed determines the faults and their order, so that a run with the same seed repeats the schedule. The command
+//! prints the seed with the results.
 
 use crate::check::broken_promises;
 use crate::check::faults_of_report;
@@ -20,31 +20,31 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Entries of the deployment.
+/// Number of entries.
 const ENTRIES: usize = 5;
-/// Targets of the service.
+/// Number of targets.
 const TARGETS: u64 = 8;
-/// Time between two faults, in milliseconds.
+/// Time between two steps, in milliseconds.
 const STEP_MS: u64 = 700;
-/// Requests a second.
+/// Requests per second of each caller.
 const RATE_PER_S: f64 = 150.0;
-/// Share of requests that may not be repeated, in percent.
+/// Share of once-only requests, in percent.
 const ONCE_PERCENT: u8 = 50;
-/// How long a planned stop may take.
+/// Maximum duration of a planned stop.
 const STOP_MAX: Duration = Duration::from_secs(20);
-/// Time of the last, quiet part, in milliseconds.
+/// Duration of the load after the last fault is cleared, in milliseconds.
 const QUIET_MS: u64 = 2_000;
 
-/// What a soak found.
+/// Result of a soak.
 #[derive(Debug, Default)]
 pub struct SoakReport {
-    /// What was done, a line a step.
+    /// Description of each step.
     pub steps: Vec<String>,
-    /// What must not have happened and did.
+    /// Violated checks.
     pub faults: Vec<String>,
-    /// What callers with a home were told.
+    /// Report of the caller that names a home.
     pub with_home: CallerReport,
-    /// What callers without a home were told.
+    /// Report of the caller that names no home.
     pub without_home: CallerReport,
 }
 
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 ///
-/// [`LabError`] when the deployment can't be started.
+/// [`LabError`] if the deployment can't be started.
 pub async fn run(seed: u64, duration_ms: u64) -> Result<SoakReport, LabError> {
     let service = ServicePlan::new("quote", TARGETS, 3, 20.0);
     let settings = json!({"platform_timeout_ms": 500, "ledger_epoch_ms": 20_000});
@@ -97,7 +97,7 @@
     lab: Lab,
     random: fastrand::Rng,
     entries: [EntryState; ENTRIES],
-    /// The highest version seen in force at each entry's present run.
+    /// Version last seen in force in the current process of each entry.
     versions_seen: [u64; ENTRIES],
     report: SoakReport,
 }
@@ -110,11 +110,11 @@
             1 => self.pause(index),
             2 => self.stop(index).await,
             3..=5 => self.restore_entry(index),
-            6 => self.set_platform_faults().await,
+            6 => self.inject_platform_fault().await,
             7 => self.clear_platform_faults().await,
             8 => self.roll(),
-            9 => self.roll_concurrently(),
-            10 => self.set_target_faults().await,
+            9 => self.roll_twice(),
+            10 => self.inject_target_fault().await,
             _ => self.clear_target_faults().await,
         }
     }
@@ -123,7 +123,7 @@
         self.report.steps.push(step);
     }
 
-    /// One entry at least is left running.
+    /// Whether an entry can be lost with at least one left running.
     fn can_lose_entry(&self) -> bool {
         let running = self.entries.iter().filter(|e| **e == EntryState::Running);
         running.count() > 1
@@ -147,7 +147,7 @@
 
     async fn stop(&mut self, index: usize) {
         if self.entries[index] == EntryState::Running && self.can_lose_entry() {
-            self.record_step(format!("stop entry {index} as planned"));
+            self.record_step(format!("planned stop of entry {index}"));
             self.lab.entry(index).terminate();
             let exit = self.lab.entry(index).wait(STOP_MAX).await;
             if exit != Some(true) {
@@ -170,11 +170,11 @@
                 self.versions_seen[index] = 0;
             }
         }
-        self.record_step(format!("bring entry {index} back"));
+        self.record_step(format!("restore entry {index}"));
         self.entries[index] = EntryState::Running;
     }
 
-    async fn set_platform_faults(&mut self) {
+    async fn inject_platform_fault(&mut self) {
         let faults = match self.random.u8(0..5) {
             0 => PlatformFaults {
                 table_down: true,
@@ -204,7 +204,7 @@
     }
 
     async fn clear_platform_faults(&mut self) {
-        self.record_step("platform: well".to_owned());
+        self.record_step("platform: no faults".to_owned());
         self.lab
             .set_platform_faults(&PlatformFaults::default())
             .await;
@@ -217,8 +217,8 @@
         self.refresh_version();
     }
 
-    /// Two operators roll the same version; one at the most may win.
-    fn roll_concurrently(&mut self) {
+    /// Rolls the same version twice, as two competing operators do. At most one roll may succeed.
+    fn roll_twice(&mut self) {
         let mut won = 0;
         for _ in 0..2 {
             let bundle = self.bundle_with_new_deadline();
@@ -226,9 +226,11 @@
             won += u32::from(signed.is_ok_and(|file| self.lab.roll_signed(&file).is_ok()));
         }
         if won > 1 {
-            self.report.faults.push("both operators won".to_owned());
+            self.report
+                .faults
+                .push("both competing rolls of a version succeeded".to_owned());
         }
-        self.record_step(format!("race: {won} won"));
+        self.record_step(format!("competing rolls: {won} succeeded"));
         self.refresh_version();
     }
 
@@ -239,7 +241,7 @@
         bundle
     }
 
-    /// Takes the version over that the platform has, as a roll may have taken effect unseen.
+    /// Refreshes the newest version from the platform, because a roll that failed may have taken effect.
     fn refresh_version(&mut self) {
         let history = self.lab.command(&["bundle", "status", "--format", "json"]);
         let rows: serde_json::Value =
@@ -249,7 +251,7 @@
         }
     }
 
-    async fn set_target_faults(&mut self) {
+    async fn inject_target_fault(&mut self) {
         let target = self.lab.targets(0)[self.random.usize(..TARGETS as usize)];
         let mut faults = TargetFaults::default();
         match self.random.u8(0..6) {
@@ -265,7 +267,7 @@
     }
 
     async fn clear_target_faults(&mut self) {
-        self.record_step("targets: well".to_owned());
+        self.record_step("targets: no faults".to_owned());
         for target in self.lab.targets(0).to_vec() {
             self.lab
                 .set_target_faults(target, &TargetFaults::default())
@@ -273,7 +275,7 @@
         }
     }
 
-    /// No run of an entry may go back to an older version.
+    /// Checks that no entry returns to an older version while its process runs.
     async fn check_versions(&mut self) {
         for index in 0..ENTRIES {
             if self.entries[index] != EntryState::Running {
@@ -285,7 +287,7 @@
             let version = status.own.version.number();
             if version < self.versions_seen[index] {
                 let seen = self.versions_seen[index];
-                let fault = format!("entry {index} went from version {seen} to {version}");
+                let fault = format!("entry {index} returned from version {seen} to {version}");
                 self.report.faults.push(fault);
             }
             self.versions_seen[index] = version;
@@ -300,7 +302,7 @@
         }
     }
 
-    /// After the faults everything serves again, and nothing that was said was wrong.
+    /// Checks that the deployment serves again after the faults and that all reports of callers are correct.
     async fn finish(&mut self) {
         self.refresh_version();
         let outcomes = [
@@ -316,7 +318,10 @@
         let quiet = CallerSettings::new(seeds, "quote", RATE_PER_S, QUIET_MS);
         let quiet = Caller::new(quiet).run().await.repeatable;
         if quiet.answered * 100 < quiet.sent * 99 {
-            let fault = format!("{} of {} answered after it all", quiet.answered, quiet.sent);
+            let fault = format!(
+                "{} of {} requests answered after the last fault was cleared",
+                quiet.answered, quiet.sent
+            );
             self.report.faults.push(fault);
         }
         let mut faults = Vec::new();
--- a/crates/pinhaven-lab/src/versions/carrier.rs
+++ b/crates/pinhaven-lab/src/versions/carrier.rs
@@ -1,10 +1,10 @@
-//! What carries out an instance's work in emulated time: its link and its share of a core. Each does one thing
-//! after the other, in the order in which they come.
+//! The resources of an emulated entry: its network link and its share of a processor core. Each serves its jobs one at
+//! a time, in the order in which they arrive.
 
-/// Bits in a byte, and microseconds of a bit at a megabit a second.
+/// Bits per byte; one bit takes 1 us on a link of 1 Mbit/s.
 const BITS_PER_BYTE: f64 = 8.0;
 
-/// A link that all which an instance sends and receives shares.
+/// Network link, shared by everything that an entry sends and receives.
 #[derive(Debug, Clone)]
 pub(super) struct Link {
     us_per_byte: f64,
@@ -12,7 +12,7 @@
 }
 
 impl Link {
-    /// A link of so many megabits a second.
+    /// Creates an idle link with a rate in megabits per second.
     pub(super) fn new(link_mbps: f64) -> Self {
         Self {
             us_per_byte: BITS_PER_BYTE / link_mbps,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Carries bytes after all that came before. Returns when the last of them is through.
+    /// Queues a transfer behind all earlier ones and returns the time at which its last byte has passed.
     pub(super) fn transfer(&mut self, bytes: usize, now_us: u64) -> u64 {
         let duration_us = bytes as f64 * self.us_per_byte;
         self.free_at_us = self.free_at_us.max(now_us) + duration_us.ceil() as u64;
@@ -28,7 +28,7 @@
     }
 }
 
-/// A share of a core.
+/// Share of a processor core.
 #[derive(Debug, Clone)]
 pub(super) struct Processor {
     share: f64,
@@ -37,7 +37,7 @@
 }
 
 impl Processor {
-    /// Such a share of a core.
+    /// Creates an idle processor with a share of a core, from 0 to 1.
     pub(super) fn new(share: f64) -> Self {
         Self {
             share,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Does work that takes `cost_us` on a whole core, after all that came before. Returns when it is done.
+    /// Queues work that takes `cost_us` on a whole core behind all earlier work and returns the time of its end.
     pub(super) fn work(&mut self, cost_us: u64, now_us: u64) -> u64 {
         self.used_us += cost_us;
         let duration_us = cost_us as f64 / self.share;
@@ -54,7 +54,7 @@
         self.free_at_us
     }
 
-    /// Processor time used so far.
+    /// Processor time used so far, on a whole core.
     pub(super) fn used_us(&self) -> u64 {
         self.used_us
     }
--- a/crates/pinhaven-lab/src/versions/costs.rs
+++ b/crates/pinhaven-lab/src/versions/costs.rs
@@ -1,7 +1,8 @@
-//! What the steps of taking and giving a version cost: processor time on a whole core, and memory.
+//! Cost of each step of fetching and serving a version: processor time on a whole core, and memory.
 //!
-//! Measured in this process on bundles like those of the run, so that emulated entries are charged what real
-//! ones pay. Not measured: tables that an entry builds from a version for its own use.
+//! [`Costs::measure`] runs the code of real entries in this process, on generated bundles like those of an emulated
+//! run, so that emulated entries are charged what real entries spend. The tables that an entry builds from a version
+//! for its own use are not included.
 
 use crate::versions::history::generate_bundle;
 use crate::versions::history::head_of;
@@ -14,38 +15,38 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Routes of the bundle that steps are measured on.
+/// Routes of the measured bundle.
 const ROUTES: usize = 20_000;
-/// Runs of each step; the median counts.
+/// Runs of each step, of which the median is used.
 const RUNS: usize = 5;
-/// Bundles that are held at once to measure the memory of one. As many before them fill what is free in the
-/// process already.
+/// Bundles held at once to measure the memory of a single one. The same number is allocated beforehand, so that
+/// memory which the process already has free doesn't reduce the measured growth.
 const COPIES: usize = 16;
-/// Bytes of a page of memory, as the kernel counts them.
+/// Bytes per memory page in `/proc/self/statm`.
 const PAGE_BYTES: u64 = 4_096;
 
-/// Cost of each step, by route. Steps that touch few routes of many are charged for those only where they
-/// don't look at all.
+/// Cost of each step per route. A step is charged for all routes of the version if it reads all of them, and only for
+/// the routes in the package otherwise.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Costs {
-    /// Reading a whole body as the store gives it and bringing it into canonical form, a route.
+    /// Parsing a whole body from the store and bringing it into canonical form, per route.
     pub read_ns: u64,
-    /// Making a package, a route in it.
+    /// Building a package, per route in the package.
     pub pack_ns: u64,
-    /// Unpacking a package, a route in it.
+    /// Unpacking a package, per route in the package.
     pub unpack_ns: u64,
-    /// Applying differences and checking the digest of what comes out, a route of the whole.
+    /// Applying differences and checking the digest of the result, per route of the version.
     pub apply_ns: u64,
-    /// Making the difference to the version before, for peers, a route of the whole.
+    /// Computing the difference from the previous version for peers, per route of the version.
     pub difference_ns: u64,
-    /// A call between entries, at either end, whatever it carries.
+    /// Fixed cost of a call between entries, at each end.
     pub call_us: u64,
-    /// Memory of a version, a route.
+    /// Memory of a version, per route.
     pub held_bytes: u64,
 }
 
 impl Default for Costs {
-    /// Figures of one measurement, so that runs can be repeated.
+    /// Fixed costs, so that a run with the same seed gives the same result on every machine.
     fn default() -> Self {
         Self {
             read_ns: 2_487,
@@ -60,7 +61,7 @@
 }
 
 impl Costs {
-    /// Measures all steps.
+    /// Measures all steps except [`Costs::call_us`], which keeps its default.
     pub fn measure() -> Self {
         let before = CanonicalBundle::new(generate_bundle(BundleVersion::new(1), 0, ROUTES));
         let filler = vec![before.clone(); COPIES];
@@ -116,7 +117,7 @@
     }
 }
 
-/// The median time of a step on all routes, by route.
+/// Median time of a step that processes all routes, divided by the number of routes.
 fn ns_per_route(step: impl Fn() -> bool) -> u64 {
     let mut times_ns: Vec<u64> = (0..RUNS).map(|_| time_ns(&step)).collect();
     times_ns.sort_unstable();
@@ -130,7 +131,7 @@
     started.elapsed().as_nanos() as u64
 }
 
-/// Resident memory of this process; 0 where the kernel doesn't tell.
+/// Resident memory of this process, in bytes; 0 if `/proc/self/statm` can't be read.
 fn resident_bytes() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: Option<u64> = statm.split(' ').nth(1).and_then(|word| word.parse().ok());
--- a/crates/pinhaven-lab/src/versions/fetching.rs
+++ b/crates/pinhaven-lab/src/versions/fetching.rs
@@ -1,4 +1,7 @@
-//! How an entry takes a version from peers, step by step as entries do.
+//! Fetching a version from peers in emulated time.
+//!
+//! An entry that learns of a newer version requests its package part by part from one peer. If the peer fails or is
+//! busy, the entry continues with another peer that has the version. The bounds equal those of a real entry.
 
 use crate::versions::instance::PeerAttempt;
 use crate::versions::instance::address_of;
@@ -21,18 +24,19 @@
 use pinhaven_types::Microseconds;
 use std::net::SocketAddr;
 
-/// Peers that are asked one after the other, as in an entry.
+/// Maximum number of peers tried in one round, as in an entry.
 const PEERS_TRIED_MAX: usize = 3;
-/// How often a package may be begun anew at one peer, as in an entry.
+/// Maximum number of times that a package may start over at one peer, as in an entry.
 const RESTARTS_MAX: u32 = 2;
-/// Rounds in which all were busy before the next news begins anew, as in an entry.
+/// Maximum number of rounds without a free peer. After them, the next datagram with a newer version starts a new fetch,
+/// as in an entry.
 const ROUNDS_MAX: u32 = 20;
-/// Nanoseconds in a microsecond.
+/// Nanoseconds per microsecond.
 const NS_PER_US: u64 = 1_000;
 
 impl World<'_> {
-    /// Begins to ask a peer, after others were tried.
-    pub(super) fn ask_peer(&mut self, entry: usize, peer: SocketAddr) {
+    /// Starts a fetch at a peer, with no peers tried yet.
+    pub(super) fn start_fetch(&mut self, entry: usize, peer: SocketAddr) {
         let instance = &mut self.instances[entry];
         let request = instance.fetch.request(instance.held);
         instance.attempt = Some(PeerAttempt {
@@ -48,7 +52,7 @@
         self.request_part(entry);
     }
 
-    /// Asks for the next part.
+    /// Requests the next part from the current peer and schedules the timeout of the call.
     fn request_part(&mut self, entry: usize) {
         let instance = &mut self.instances[entry];
         let Some(attempt) = &mut instance.attempt else {
@@ -70,7 +74,7 @@
             .schedule(self.now_us + PART_TIMEOUT.count(), timeout);
     }
 
-    /// Whether an entry waits for the answer to a call.
+    /// Whether an entry still awaits the answer to a call.
     pub(super) fn awaits(&self, entry: usize, call: CallNumber) -> bool {
         let attempt = self.instances[entry].attempt.as_ref();
         attempt.is_some_and(|attempt| attempt.call == call && !attempt.is_answered)
@@ -84,7 +88,7 @@
     pub(super) fn handle_timeout(&mut self, entry: usize, call: CallNumber) {
         if self.awaits(entry, call) {
             self.instances[entry].fetch.record_timeout();
-            self.abandon_failed_peer(entry, "no answer in time");
+            self.abandon_failed_peer(entry, "the peer did not answer in time");
         }
     }
 
@@ -112,7 +116,7 @@
                 let received = ReceivedVersion {
                     version,
                     start,
-                    is_good: true,
+                    is_valid: true,
                 };
                 let read: usize = steps.iter().map(|step| self.history.routes(*step)).sum();
                 self.begin_adoption(entry, call, received, read);
@@ -120,12 +124,12 @@
         }
     }
 
-    /// Leaves a peer that is busy, and remembers how long to stay retry_after.
+    /// Abandons a busy peer and records the shortest delay after which a busy peer may be asked again.
     fn abandon_busy_peer(&mut self, entry: usize, retry_after: Microseconds) {
         let instance = &mut self.instances[entry];
         instance.busy_answers += 1;
         if let Some(attempt) = &mut instance.attempt {
-            // Entries are told whole milliseconds.
+            // The delay is sent to entries in whole milliseconds.
             let retry_after = Microseconds::from_ms(retry_after.as_ms().ceil() as u64);
             attempt.retry_after = Some(
                 attempt
@@ -136,7 +140,7 @@
         self.abandon_peer(entry);
     }
 
-    /// Begins another round after all that were asked were busy.
+    /// Starts another round after a round in which peers were busy.
     pub(super) fn retry_fetch(&mut self, entry: usize, call: CallNumber) {
         if self.instances[entry].is_alive && self.is_current(entry, call) {
             self.ask_next_peer(entry);
@@ -150,30 +154,33 @@
         };
         attempt.restarts += u32::from(attempt.request.offset > 0 && part.offset == 0);
         if attempt.restarts > RESTARTS_MAX {
-            self.abandon_failed_peer(entry, "another package each time");
+            self.abandon_failed_peer(entry, "the peer changed the package too often");
             return;
         }
         match instance.fetch.record_part(attempt.request, part) {
             Fetched::More => self.request_part(entry),
-            Fetched::Rejected => self.abandon_failed_peer(entry, "a part fits nothing"),
+            Fetched::Rejected => {
+                self.abandon_failed_peer(entry, "a received part does not fit the package")
+            }
             Fetched::Package(bytes) => self.accept_package(entry, call, &bytes),
         }
     }
 
     fn accept_package(&mut self, entry: usize, call: CallNumber, bytes: &[u8]) {
         let Some(package) = self.history.find_package(bytes) else {
-            self.abandon_failed_peer(entry, "it is no package");
+            self.abandon_failed_peer(entry, "the received bytes are not a package");
             return;
         };
         let received = ReceivedVersion {
             version: package.key.version(),
             start: package.key.start,
-            is_good: package.is_good,
+            is_valid: package.is_valid,
         };
         self.begin_adoption(entry, call, received, package.routes);
     }
 
-    /// Charges for reading so many routes, putting the whole together and making the difference for peers.
+    /// Charges the processor for unpacking `read` routes, assembling the version and computing its difference for
+    /// peers.
     fn begin_adoption(
         &mut self,
         entry: usize,
@@ -201,11 +208,11 @@
         let fails = self.has_fault(|fault| *fault == VersionFault::DifferencesFail { entry });
         let held = self.instances[entry].held;
         let fits = received.start.is_none_or(|start| start == held && !fails);
-        if !fits || !received.is_good {
+        if !fits || !received.is_valid {
             if received.start.is_some() {
                 self.instances[entry].fetch.reject_differences();
             }
-            self.abandon_failed_peer(entry, "it can't be put in force");
+            self.abandon_failed_peer(entry, "the received version can't be put in force");
             return;
         }
         if received.version <= held {
@@ -220,7 +227,7 @@
         self.ask_next_peer(entry);
     }
 
-    /// Leaves a peer that failed.
+    /// Records a failure and abandons the current peer.
     fn abandon_failed_peer(&mut self, entry: usize, reason: &str) {
         let instance = &mut self.instances[entry];
         instance.failed_tries += 1;
@@ -228,7 +235,7 @@
         self.abandon_peer(entry);
     }
 
-    /// Leaves a peer.
+    /// Marks the current peer as tried and asks the next one.
     fn abandon_peer(&mut self, entry: usize) {
         let Some(attempt) = &mut self.instances[entry].attempt else {
             return;
@@ -238,7 +245,7 @@
         self.ask_next_peer(entry);
     }
 
-    /// Goes on with another peer that has what this entry lacks, if there is one.
+    /// Continues with an untried peer that has the next version, or ends the round if there is none.
     fn ask_next_peer(&mut self, entry: usize) {
         let now = self.now();
         let random = self.random.u64(..);
@@ -269,7 +276,8 @@
         }
     }
 
-    /// Plans another round if peers were busy in this one.
+    /// Schedules another round if peers were busy in this one. The delay has jitter, so that entries don't ask all at
+    /// once.
     fn end_round(&mut self, entry: usize) {
         let jitter = self.random.f64();
         let instance = &mut self.instances[entry];
--- a/crates/pinhaven-lab/src/versions/giving.rs
+++ b/crates/pinhaven-lab/src/versions/giving.rs
@@ -1,4 +1,7 @@
-//! What an entry answers to a peer that asks for a version, step by step as entries do.
+//! Serving a version to peers in emulated time.
+//!
+//! An entry answers a request with the next part of a package that leads from the peer's version to its own. It reuses
+//! cached packages and refuses to start new transfers beyond its transfer budget, as a real entry does.
 
 use crate::versions::history::BuiltPackage;
 use crate::versions::history::PackageKey;
@@ -16,11 +19,11 @@
 use pinhaven_agree::PartRequest;
 use std::rc::Rc;
 
-/// Nanoseconds in a microsecond.
+/// Nanoseconds per microsecond.
 const NS_PER_US: u64 = 1_000;
 
 impl World<'_> {
-    /// Takes a question in and answers it once the processor has time.
+    /// Queues the answer to a peer's request on the entry's processor.
     pub(super) fn receive_request(
         &mut self,
         entry: usize,
@@ -40,7 +43,7 @@
         self.work(entry, cost_us, work);
     }
 
-    /// Processor time for making the package that a peer needs, if it is not cached.
+    /// Processor time for building the package that a peer needs; 0 if the package is cached or nothing is sent.
     fn packing_cost_us(&mut self, entry: usize, request: &PartRequest) -> u64 {
         if self.instances[entry].held <= request.held || self.only_advertises(entry) {
             return 0;
@@ -67,11 +70,11 @@
         self.has_fault(|fault| *fault == VersionFault::AdvertisesButHasNone { entry })
     }
 
-    /// The package that a peer has begun, or else the one that it needs, if it is cached.
+    /// The cached package that the peer has started to receive, or else the cached package that the peer needs.
     fn cached_package(&mut self, entry: usize, request: &PartRequest) -> Option<Rc<BuiltPackage>> {
-        let begun = self.instances[entry].find_package_by_digest(request.package);
-        if begun.is_some() {
-            return begun;
+        let resumed = self.instances[entry].find_package_by_digest(request.package);
+        if resumed.is_some() {
+            return resumed;
         }
         let key = self.package_key(entry, request);
         self.instances[entry].cached_package(|built| {
@@ -86,7 +89,7 @@
         built
     }
 
-    /// What leads a peer from what it holds to what this entry holds.
+    /// Key of the package that leads from the peer's version to this entry's version.
     fn package_key(&self, entry: usize, request: &PartRequest) -> PackageKey {
         let instance = &self.instances[entry];
         let deltas = instance.deltas_since(request.held);
@@ -104,7 +107,8 @@
         }
     }
 
-    /// Whether differences name less than there is in all. Where each carries all routes anyway it isn't asked.
+    /// Whether the differences name no more services and routes than the whole version has. Always true for
+    /// [`Transfer::WholeInASecond`], where each difference carries all routes.
     fn is_smaller_than_whole(&self, entry: usize, deltas: &[RetainedDelta]) -> bool {
         let held = self.instances[entry].held;
         let changes: usize = deltas.iter().map(|delta| delta.size).sum();
--- a/crates/pinhaven-lab/src/versions/history.rs
+++ b/crates/pinhaven-lab/src/versions/history.rs
@@ -1,7 +1,7 @@
-//! The versions of a run: real bundles of generated routes, the differences between them and their packages.
+//! The versions of a run: real bundles with generated routes, their differences and their packages.
 //!
-//! Packages of the same versions are the same at every entry, so each is built once for all of them, and once
-//! it is checked that it leads to the signed version.
+//! A package between two versions has the same content at every entry. Each package is therefore built, and checked
+//! to yield the signed version, once for all entries.
 
 use crate::versions::plan::VersionChange;
 use crate::versions::plan::VersionsPlan;
@@ -19,41 +19,41 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Routes that are there before any are added.
+/// Routes of the first version if later versions add routes.
 const ROUTES_BEFORE: usize = 10;
-/// Hosts over which the routes are spread.
+/// Hosts among which the routes are distributed.
 const HOSTS: usize = 4;
-/// Time-out of a route that was not changed yet, in milliseconds.
+/// Timeout of an unchanged route, in milliseconds.
 const TIMEOUT_MS: usize = 4_000;
 
-/// What a package leads from and to.
+/// Start and steps of a package.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct PackageKey {
-    /// The version that the receiver holds; `None` for a whole body.
+    /// Version that the receiver holds; `None` for a whole body.
     pub(super) start: Option<BundleVersion>,
-    /// The versions that the differences lead to, one after the other, the last one the package's own.
+    /// Versions that the differences lead to, in order. The last entry is the version of the package.
     pub(super) steps: Vec<BundleVersion>,
 }
 
 impl PackageKey {
-    /// The version that it leads to.
+    /// Version that the package leads to.
     pub(super) fn version(&self) -> BundleVersion {
         self.steps.last().copied().unwrap_or(BundleVersion::NONE)
     }
 }
 
-/// A package, and what receivers find.
+/// A package with the result of unpacking and applying it.
 #[derive(Debug)]
 pub(super) struct BuiltPackage {
     pub(super) key: PackageKey,
     pub(super) package: BundlePackage,
-    /// Routes in it.
+    /// Routes in the package.
     pub(super) routes: usize,
-    /// Whether it leads to the version that was signed.
-    pub(super) is_good: bool,
+    /// Whether the package yields the signed version.
+    pub(super) is_valid: bool,
 }
 
-/// All versions of a run.
+/// All versions of a run, with caches of their differences and packages.
 pub(super) struct History {
     versions: Vec<CanonicalBundle>,
     deltas: HashMap<(BundleVersion, BundleVersion), Rc<BundleDelta>>,
@@ -63,7 +63,7 @@
 }
 
 impl History {
-    /// The version before the run, and those that are acknowledged in it.
+    /// Generates the first version and all versions that are acknowledged during the run.
     pub(super) fn new(plan: &VersionsPlan) -> Self {
         let count = match plan.change {
             VersionChange::FreshEntry => 1,
@@ -93,7 +93,7 @@
         &self.versions[version.number() as usize - 1]
     }
 
-    /// Routes of a version.
+    /// Number of routes of a version.
     pub(super) fn routes(&self, version: BundleVersion) -> usize {
         if version == BundleVersion::NONE {
             return 0;
@@ -102,17 +102,17 @@
         hosts.iter().map(|host| host.paths.len()).sum()
     }
 
-    /// Services of a version.
+    /// Number of services of a version.
     pub(super) fn services(&self, version: BundleVersion) -> usize {
         self.body(version).bundle().services.len()
     }
 
-    /// Bytes of a whole body.
+    /// Size of the whole body of a version, in bytes.
     pub(super) fn body_bytes(&self, version: BundleVersion) -> usize {
         self.body(version).bytes().len()
     }
 
-    /// The difference between two versions.
+    /// Difference between two versions.
     pub(super) fn delta(&mut self, from: BundleVersion, to: BundleVersion) -> Rc<BundleDelta> {
         if let Some(delta) = self.deltas.get(&(from, to)) {
             return Rc::clone(delta);
@@ -123,7 +123,7 @@
         delta
     }
 
-    /// The package that leads from and to these versions.
+    /// Package with a key, built on first use.
     pub(super) fn package(&mut self, key: &PackageKey) -> Rc<BuiltPackage> {
         if let Some(built) = self.packages.get(key) {
             return Rc::clone(built);
@@ -135,7 +135,7 @@
         built
     }
 
-    /// The package with these bytes.
+    /// Finds the package with these bytes.
     pub(super) fn find_package(&self, bytes: &[u8]) -> Option<Rc<BuiltPackage>> {
         self.by_digest.get(&Digest::of(bytes)).map(Rc::clone)
     }
@@ -155,14 +155,14 @@
             None => self.routes(key.version()),
         };
         BuiltPackage {
-            is_good: self.yields_signed_version(key, &package),
+            is_valid: self.yields_signed_version(key, &package),
             key: key.clone(),
             package,
             routes,
         }
     }
 
-    /// Whether what a receiver unpacks leads to the version.
+    /// Whether unpacking and applying a package yields the signed version.
     fn yields_signed_version(&self, key: &PackageKey, package: &BundlePackage) -> bool {
         let signed = self.body(key.version()).digest();
         let Ok(unpacked) = BundlePackage::unpack(package.bytes()) else {
@@ -189,7 +189,7 @@
         deltas
     }
 
-    /// Bytes of the same where each difference carries all routes and nothing is compressed.
+    /// Size of a transfer in which each difference carries all routes and nothing is compressed.
     pub(super) fn whole_transfer_bytes(&mut self, key: &PackageKey) -> usize {
         if key.start.is_none() {
             return self.body_bytes(key.version());
@@ -213,14 +213,15 @@
     }
 }
 
-/// The head that an entry gives with a version which the store acknowledged.
+/// Head that an entry serves with a version acknowledged by the store.
 pub(super) fn head_of(body: &CanonicalBundle) -> BundleHead {
     let offer = Offer::acknowledged(body.clone());
     let offer = offer.expect("the names of an acknowledged version are fixed");
     offer.head().clone()
 }
 
-/// A bundle of `routes` routes, of which the first `changed` have another time-out than at first.
+/// Generates a bundle with `routes` routes, of which the first `changed` have another timeout than in the first
+/// version.
 pub(super) fn generate_bundle(version: BundleVersion, changed: usize, routes: usize) -> Bundle {
     let hosts: Vec<serde_json::Value> = (0..HOSTS)
         .map(|host| {
@@ -244,11 +245,11 @@
 }
 
 fn route(number: usize, timeout_ms: usize) -> serde_json::Value {
-    // Numbers that look random, so that routes compress like names that people and programs give.
-    let scrambled = (number as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 24;
+    // Sequential names would compress far better than the names of real routes, so the numbers are scrambled.
+    let drawn = (number as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 24;
     json!({
-        "name": format!("route-{scrambled:010x}"),
-        "path_prefix": format!("/area-{}/{scrambled:010x}/", number % 50),
+        "name": format!("route-{drawn:010x}"),
+        "path_prefix": format!("/area-{}/{drawn:010x}/", number % 50),
         "kind": if number.is_multiple_of(3) { "non_idempotent" } else { "idempotent" },
         "timeout_ms": timeout_ms,
         "aim_ms": 600,
--- a/crates/pinhaven-lab/src/versions/instance.rs
+++ b/crates/pinhaven-lab/src/versions/instance.rs
@@ -1,4 +1,5 @@
-//! An emulated entry: the decision logic of real ones, and what it keeps for peers.
+//! State of an emulated entry: the decision logic of a real entry, the differences and packages that the entry retains
+//! for peers, and its resources.
 
 use crate::versions::carrier::Link;
 use crate::versions::carrier::Processor;
@@ -23,20 +24,20 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Time after which a peer that usually speaks counts as silent.
+/// Time without a heartbeat after which a peer counts as silent.
 const SILENT_AFTER: Microseconds = Microseconds::from_ms(1_200);
-/// Requests that each instance can carry; all are alike.
+/// Request capacity of each entry.
 const CAPACITY: RequestRate = RequestRate::new(100);
-/// Port of the first entry.
+/// Port of the first entry; each further entry has the next port.
 const FIRST_PORT: u16 = 1_000;
-/// Differences that are kept for peers, as in an entry.
+/// Maximum number of differences retained for peers, as in an entry.
 const DELTAS_MAX: usize = 64;
-/// Services and routes that they may name together, as in an entry.
+/// Maximum number of services and routes that the retained differences may name in total, as in an entry.
 const DELTA_CHANGES_MAX: usize = 8_192;
-/// Packages that are kept for peers, as in an entry.
+/// Maximum number of packages cached for peers, as in an entry.
 const PACKAGES_MAX: usize = 8;
 
-/// A difference that is kept for peers.
+/// Difference retained for peers.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RetainedDelta {
     pub(super) from: BundleVersion,
@@ -44,15 +45,15 @@
     pub(super) size: usize,
 }
 
-/// PeerAttempt one peer for a version, and those that were asked before.
+/// Fetch of a version from one peer, with the peers tried before.
 #[derive(Debug)]
 pub(super) struct PeerAttempt {
     pub(super) peer: usize,
     pub(super) tried: Vec<SocketAddr>,
     pub(super) restarts: u32,
-    /// How long to stay away, if a peer that was tried was busy.
+    /// Shortest delay named by a busy peer in this round; `None` if no peer was busy.
     pub(super) retry_after: Option<Microseconds>,
-    /// Rounds in which all were busy.
+    /// Number of rounds that ended without a free peer.
     pub(super) rounds: u32,
     pub(super) call: CallNumber,
     pub(super) request: PartRequest,
@@ -78,9 +79,9 @@
     pub(super) store_backoff: RetryBackoff,
     pub(super) waits_for_store: bool,
     pub(super) store_asked_us: u64,
-    /// Whether the change was there already when the store was last asked.
+    /// Whether the store's version was already acknowledged some time before the last poll.
     pub(super) store_was_ahead: bool,
-    /// How long the store's last answer took to come.
+    /// Duration of the last answer of the store, in microseconds.
     pub(super) store_answer_us: u64,
     pub(super) peer_bytes: u64,
     pub(super) store_bytes: u64,
@@ -92,7 +93,7 @@
 }
 
 impl Instance {
-    /// An entry that holds a version and knows all others.
+    /// Creates an entry that holds a version and knows all other entries as members.
     pub(super) fn new(entry: usize, held: BundleVersion, plan: &VersionsPlan) -> Self {
         let mut members = Membership::new(row_of(entry, held, plan), SILENT_AFTER);
         for other in (0..plan.entries).filter(|other| *other != entry) {
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Takes in that a version is in force, reached by a difference of this size.
+    /// Records that a version is in force and retains the difference of this size from the previous version.
     pub(super) fn put_in_force(&mut self, version: BundleVersion, size: usize) {
         let delta = RetainedDelta {
             from: self.held,
@@ -156,18 +157,18 @@
         }
     }
 
-    /// Services and routes that the kept differences name.
+    /// Number of services and routes that the retained differences name.
     pub(super) fn retained_changes(&self) -> usize {
         self.deltas.iter().map(|delta| delta.size).sum()
     }
 
-    /// The kept differences that lead from a version to the one in force.
+    /// Retained differences that lead from a version to the version in force; `None` if the first is not retained.
     pub(super) fn deltas_since(&self, version: BundleVersion) -> Option<Vec<RetainedDelta>> {
         let first = self.deltas.iter().position(|delta| delta.from == version)?;
         Some(self.deltas.iter().skip(first).copied().collect())
     }
 
-    /// A kept package that fits.
+    /// Returns a cached package that fits and marks it as the most recently used.
     pub(super) fn cached_package(
         &mut self,
         fits: impl Fn(&BuiltPackage) -> bool,
@@ -178,7 +179,7 @@
         Some(used)
     }
 
-    /// The kept package with this digest.
+    /// Returns the cached package with a digest and marks it as the most recently used.
     pub(super) fn find_package_by_digest(
         &mut self,
         digest: Option<Digest>,
@@ -187,7 +188,7 @@
         self.cached_package(|built| built.package.digest() == digest)
     }
 
-    /// Keeps a package in place of the one that was not asked for the longest.
+    /// Caches a package and evicts the least recently used one if there are too many.
     pub(super) fn insert_package(&mut self, built: Rc<BuiltPackage>) {
         self.packages.push_back(built);
         if self.packages.len() > PACKAGES_MAX {
@@ -195,12 +196,12 @@
         }
     }
 
-    /// Forgets all packages.
+    /// Clears the package cache.
     pub(super) fn clear_packages(&mut self) {
         self.packages.clear();
     }
 
-    /// Bytes of all kept packages.
+    /// Total size of the cached packages, in bytes.
     pub(super) fn package_bytes(&self) -> usize {
         self.packages
             .iter()
@@ -209,17 +210,17 @@
     }
 }
 
-/// Where an entry takes calls.
+/// Address at which an entry accepts calls.
 pub(super) fn address_of(entry: usize) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_PORT + entry as u16))
 }
 
-/// The entry that takes calls at an address.
+/// Index of the entry that accepts calls at an address.
 pub(super) fn entry_at(address: SocketAddr) -> usize {
     usize::from(address.port() - FIRST_PORT)
 }
 
-/// What an entry says of itself at first.
+/// First membership row of an entry.
 fn row_of(entry: usize, held: BundleVersion, plan: &VersionsPlan) -> MemberRow {
     let domain = format!("domain-{}", entry % plan.failure_domains);
     let name = format!("entry-{entry}");
--- a/crates/pinhaven-lab/src/versions/message.rs
+++ b/crates/pinhaven-lab/src/versions/message.rs
@@ -1,4 +1,4 @@
-//! What instances and the store say to each other in emulated time, and what is planned.
+//! Messages between the emulated entries and the store, and the scheduled events.
 
 use pinhaven_agree::MemberRow;
 use pinhaven_agree::Part;
@@ -7,46 +7,46 @@
 use pinhaven_types::Microseconds;
 use std::rc::Rc;
 
-/// An end of a call.
+/// Sender of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Endpoint {
     Entry(usize),
     Store,
 }
 
-/// Number of a call of one entry.
+/// Sequence number of a call, per entry.
 pub(super) type CallNumber = u64;
 
-/// An answer to a call.
+/// Answer to a call.
 #[derive(Debug, Clone)]
 pub(super) enum Reply {
     NothingNewer,
     Busy(Microseconds),
     Part(Part),
-    /// All at once, without parts; it follows from these versions.
+    /// Versions sent in a single answer: differences from `start`, or a whole body without `start`.
     Whole {
         start: Option<BundleVersion>,
         steps: Vec<BundleVersion>,
     },
-    /// What the store holds.
+    /// Version that the store holds.
     Stored(BundleVersion),
 }
 
-/// What is said.
+/// Content of a message.
 #[derive(Debug, Clone)]
 pub(super) enum Payload {
-    /// The sender's own row, and rows of others.
+    /// The sender's own row, followed by rows of other entries.
     Datagram(Rc<[MemberRow]>),
-    /// A question for a newer version.
+    /// Request for a part of a newer version.
     Ask {
         call: CallNumber,
         request: PartRequest,
     },
-    /// A piece of an answer that is under way.
+    /// Segment of an answer in flight.
     Segment { transfer: u64 },
 }
 
-/// Something said, with the bytes that it takes on a link.
+/// Message with its size on a link.
 #[derive(Debug, Clone)]
 pub(super) struct Message {
     pub(super) from: Endpoint,
@@ -55,7 +55,7 @@
     pub(super) payload: Payload,
 }
 
-/// An answer that is under way, segment after segment.
+/// Answer that is being sent segment by segment.
 #[derive(Debug)]
 pub(super) struct AnswerInFlight {
     pub(super) from: Endpoint,
@@ -66,61 +66,61 @@
     pub(super) reply: Reply,
 }
 
-/// Work of an instance's processor.
+/// Work for an entry's processor.
 #[derive(Debug)]
 pub(super) enum Work {
-    /// Answering a peer.
+    /// Build the answer to a peer's request.
     Answer {
         asker: usize,
         call: CallNumber,
         request: PartRequest,
     },
-    /// Looking at an answer.
+    /// Process the answer of a peer.
     HandleReply { call: CallNumber, reply: Reply },
-    /// Putting together and checking what came from a peer.
+    /// Assemble and check a version received from a peer.
     Adopt {
         call: CallNumber,
         received: ReceivedVersion,
     },
-    /// The same with what came from the store.
+    /// Parse and check a version received from the store.
     AdoptStored(BundleVersion),
 }
 
-/// A version that has come from a peer.
+/// Version received from a peer.
 #[derive(Debug, Clone)]
 pub(super) struct ReceivedVersion {
     pub(super) version: BundleVersion,
-    /// The version that it leads on from; `None` for a whole body.
+    /// Version that the differences start from; `None` for a whole body.
     pub(super) start: Option<BundleVersion>,
-    /// Whether it leads to what was signed, on an entry that holds what it should.
-    pub(super) is_good: bool,
+    /// Whether the package yields the signed version on an entry that holds `start`.
+    pub(super) is_valid: bool,
 }
 
-/// Something that is planned.
+/// Scheduled event.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// The store has acknowledged a version.
+    /// The store acknowledges a version.
     Acknowledged(BundleVersion),
     /// A message reaches the receiver's link.
     ReachedLink(Message),
-    /// A message is through the receiver's link.
+    /// A message has passed the receiver's link.
     Received(Message),
-    /// The processor of an entry is done.
+    /// The processor of an entry has finished some work.
     WorkDone { entry: usize, work: Work },
-    /// A call has had its time.
+    /// The timeout of a call has expired.
     TimedOut { entry: usize, call: CallNumber },
-    /// An entry that was sent away asks again.
+    /// An entry starts another round after its peers were busy.
     RetryFetch { entry: usize, call: CallNumber },
-    /// An entry that follows the store looks whether a peer is still ahead.
+    /// An entry fetches a version from a peer unless it has received the version in the meantime.
     FetchFrom {
         entry: usize,
         peer: usize,
         version: BundleVersion,
     },
-    /// An entry tells the others that it lives.
+    /// An entry sends its periodic datagrams.
     DatagramRound(usize),
-    /// An entry asks the store.
+    /// An entry polls the store.
     PollStore(usize),
-    /// An entry dies.
+    /// An entry crashes.
     Crashes(usize),
 }
--- a/crates/pinhaven-lab/src/versions/mod.rs
+++ b/crates/pinhaven-lab/src/versions/mod.rs
@@ -1,13 +1,19 @@
-//! Versions on their way to all entries, in emulated time: a run of minutes takes moments and is the same each
-//! time.
+//! Emulates how versions reach all entries. Time is emulated, so that a run of minutes takes moments and is
+//! deterministic.
 //!
-//! What is real: the bundles, differences and packages with their sizes; which peer is asked for which part, and
-//! what is kept of a part that came; how much an entry gives; who counts as live and who speaks with the store.
-//! What is emulated: links that carry bytes in order at their rate, shared by all that an instance sends and
-//! receives; a share of a core that is charged the measured cost of each step, one after the other; news, as
-//! datagrams to the audiences that entries have; the store. The driver that stands between these in an entry is
-//! written out again here, step by step. What is left out: requests of callers, lists of targets, the store's
-//! list of entries, and the tables that an entry builds from a version for its own use.
+//! A run takes a [`VersionsPlan`] and returns a [`VersionsOutcome`].
+//!
+//! The run uses the code of a real entry for the bundles, differences and packages with their sizes, the choice of the
+//! peer and part to request, the reuse of received parts, the transfer budget, membership and the choice of store
+//! delegates.
+//!
+//! The run emulates links that carry bytes in order at their rate and are shared by everything that an entry sends and
+//! receives; a share of a core that is charged the cost of each step, one step at a time; the datagrams between
+//! entries, to the recipients that an entry chooses; and the store. The driver that connects these parts in an entry
+//! is reimplemented here, step by step.
+//!
+//! The run leaves out the requests of callers, lists of targets, the store's list of entries, and the tables that an
+//! entry builds from a version for its own use.
 
 mod carrier;
 mod costs;
@@ -32,7 +38,7 @@
 pub use plan::VersionFault;
 pub use plan::VersionsPlan;
 
-/// Plays a plan.
+/// Runs a plan in emulated time.
 pub fn emulate(plan: &VersionsPlan) -> VersionsOutcome {
     world::World::new(plan).run()
 }
--- a/crates/pinhaven-lab/src/versions/news.rs
+++ b/crates/pinhaven-lab/src/versions/news.rs
@@ -1,4 +1,7 @@
-//! Who tells whom that it lives and which version it has, and what an entry does on hearing it.
+//! Datagrams between emulated entries, with heartbeats and the sender's version.
+//!
+//! Delegates poll the store, and the datagrams spread the version from the delegates to all entries. An entry that
+//! receives a datagram with a newer version fetches the version from the sender.
 
 use crate::versions::instance::address_of;
 use crate::versions::instance::entry_at;
@@ -13,19 +16,21 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Time between two datagrams that an entry tells versions in, in microseconds, as in an entry.
+/// Interval between two rounds of datagrams with versions, in microseconds, as in an entry.
 const DATAGRAM_INTERVAL_US: u64 = 500_000;
-/// Entries of a failure domain that tell all that serve, as in an entry.
+/// Entries per failure domain that send to the delegates of all failure domains, as in an entry.
 const CANDIDATES_PER_DOMAIN: usize = 8;
-/// Others that a candidate tells, and that any other entry tells, as in an entry.
-const STANDBY_RECIPIENTS: usize = 3;
-const STANDBY_RECIPIENTS_MIN: usize = 1;
-/// Beats of standby in a datagram, as in an entry.
+/// Number of random recipients beside the fixed ones, of a delegate or candidate and of any other entry, as in an
+/// entry.
+const RANDOM_RECIPIENTS: usize = 3;
+const RANDOM_RECIPIENTS_MIN: usize = 1;
+/// Maximum number of relayed heartbeats in a datagram, as in an entry.
 const RELAYED_HEARTBEATS_MAX: usize = 6;
-/// Bytes of a datagram, and of each beat in it.
+/// Size of a datagram, and of each heartbeat in the datagram, in bytes.
 const DATAGRAM_BYTES: usize = 120;
 const HEARTBEAT_BYTES: usize = 45;
-/// Time in which the store may bring a version that a peer has already, in microseconds, as in an entry.
+/// Time that a delegate leaves the store to provide a version before the delegate fetches the version from a peer, in
+/// microseconds, as in an entry.
 const STORE_HEAD_START_US: u64 = 200_000;
 
 impl World<'_> {
@@ -34,7 +39,7 @@
         self.queue.schedule(phase_us, Event::DatagramRound(entry));
     }
 
-    /// Tells that an entry lives, and looks whether it speaks with the store.
+    /// Sends an entry's periodic datagrams and starts polling the store if the entry has become a delegate.
     pub(super) fn send_round(&mut self, entry: usize) {
         if !self.instances[entry].is_alive {
             return;
@@ -56,7 +61,7 @@
         );
     }
 
-    /// Tells which version an entry has; a delegate whose news are urgent tells all.
+    /// Sends datagrams with an entry's version. An urgent update from a delegate goes to all peers.
     pub(super) fn send_datagrams(&mut self, entry: usize, is_urgent: bool) {
         let recipients = self.choose_recipients(entry, is_urgent);
         let rows = self.datagram_rows(entry);
@@ -90,8 +95,8 @@
             .into_iter()
             .partition(|row| row.failure_domain == *domain);
         let is_delegate_row = |row: &&MemberRow| delegates.contains(&row.peer_address);
-        let serving_far = far.iter().copied().filter(is_delegate_row);
-        let mut standby: Vec<&MemberRow> = far
+        let delegates_far = far.iter().copied().filter(is_delegate_row);
+        let mut remaining_peers: Vec<&MemberRow> = far
             .iter()
             .copied()
             .filter(|row| !is_delegate_row(row))
@@ -99,25 +104,28 @@
         let mut recipients: Vec<&MemberRow> =
             near.iter().copied().filter(is_delegate_row).collect();
         if is_delegate || is_candidate {
-            recipients.extend(serving_far);
+            recipients.extend(delegates_far);
         }
-        let standby_near = near.iter().copied().filter(|row| !is_delegate_row(row));
+        let remaining_near = near.iter().copied().filter(|row| !is_delegate_row(row));
         match is_delegate {
-            true => recipients.extend(standby_near),
-            false => standby.extend(standby_near),
+            true => recipients.extend(remaining_near),
+            false => remaining_peers.extend(remaining_near),
         }
         let count = match is_delegate || is_candidate {
-            true => STANDBY_RECIPIENTS,
-            false => STANDBY_RECIPIENTS_MIN,
+            true => RANDOM_RECIPIENTS,
+            false => RANDOM_RECIPIENTS_MIN,
         };
         let mut recipients: Vec<SocketAddr> =
             recipients.into_iter().map(|row| row.peer_address).collect();
-        let standby: Vec<SocketAddr> = standby.into_iter().map(|row| row.peer_address).collect();
-        recipients.extend(self.random.choose_multiple(standby, count));
+        let remaining_peers: Vec<SocketAddr> = remaining_peers
+            .into_iter()
+            .map(|row| row.peer_address)
+            .collect();
+        recipients.extend(self.random.choose_multiple(remaining_peers, count));
         recipients
     }
 
-    /// The row of an entry itself, and relayed of standby that live.
+    /// Rows of a datagram: the entry's own row, followed by rows of random live peers.
     fn datagram_rows(&mut self, entry: usize) -> Rc<[MemberRow]> {
         let now = self.now();
         let is_advertiser = self.has_fault(|fault| match fault {
@@ -137,7 +145,7 @@
             .collect()
     }
 
-    /// Takes in what another entry tells.
+    /// Records the members of a received datagram and the sender's version.
     pub(super) fn receive_datagram(&mut self, entry: usize, rows: &[MemberRow]) {
         let now = self.now();
         let Some((sender, relayed)) = rows.split_first() else {
@@ -172,12 +180,12 @@
         self.queue.schedule(self.now_us + delay_us, fetch);
     }
 
-    /// Fetches a version from the peer that recipients of it, if it has not come in the meantime.
+    /// Fetches a version from the peer that advertised it, unless the entry has received the version in the meantime.
     pub(super) fn fetch_if_behind(&mut self, entry: usize, peer: usize, version: BundleVersion) {
         let instance = &self.instances[entry];
         if !instance.is_alive || version <= instance.held || instance.attempt.is_some() {
             return;
         }
-        self.ask_peer(entry, address_of(peer));
+        self.start_fetch(entry, address_of(peer));
     }
 }
--- a/crates/pinhaven-lab/src/versions/outcome.rs
+++ b/crates/pinhaven-lab/src/versions/outcome.rs
@@ -1,45 +1,45 @@
-//! What came of a run.
+//! Results of a run, by entry and as a row of a table.
 
 use crate::versions::plan::VersionsPlan;
 
-/// What an entry met.
+/// Result of one entry.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EntryOutcome {
-    /// Time from the last acknowledgement until the last version came into force; `None` if it did not.
+    /// Time from the last acknowledgement until the last version came into force; `None` if the version did not.
     pub in_force_ms: Option<f64>,
-    /// Whether it holds an older version at the end.
+    /// Whether the entry holds an older version at the end.
     pub is_behind: bool,
-    /// Whether it lived to the end.
+    /// Whether the entry is alive at the end.
     pub is_alive: bool,
-    /// Bytes that it received from peers.
+    /// Bytes received from peers.
     pub peer_bytes: u64,
-    /// Bytes that it received from the store.
+    /// Bytes received from the store.
     pub store_bytes: u64,
     /// Processor time, on a whole core.
     pub processor_ms: f64,
-    /// Memory for versions at its peak, computed.
+    /// Estimated peak memory for versions and packages.
     pub memory_peak_bytes: u64,
-    /// Calls to the store.
+    /// Polls of the store.
     pub store_calls: u64,
-    /// Tries to get a version that failed.
+    /// Failed attempts to fetch a version.
     pub failed_tries: u64,
-    /// Times that a peer had no room for it.
+    /// Requests that a peer refused because it was busy.
     pub busy_answers: u64,
-    /// Longest time for which it knew of a newer version and none came into force.
+    /// Longest time during which the entry knew of a newer version and put none in force.
     pub longest_wait_ms: f64,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct VersionsOutcome {
-    /// By entry.
+    /// Results by entry.
     pub entries: Vec<EntryOutcome>,
-    /// When the run ended, after the last acknowledgement.
+    /// Time from the last acknowledgement to the end of the run.
     pub ended_ms: f64,
 }
 
 impl VersionsOutcome {
-    /// Living entries that have not got the last version.
+    /// Live entries that don't have the last version.
     pub fn behind(&self) -> Vec<usize> {
         let is_behind = |entry: &EntryOutcome| entry.is_alive && entry.is_behind;
         let entries = self.entries.iter().enumerate();
@@ -47,13 +47,13 @@
         behind.map(|(index, _)| index).collect()
     }
 
-    /// Time within which a share of the living entries that lacked the last version had it; `None` if fewer
-    /// ever had.
+    /// Time within which a share of the live entries that had to fetch the last version received it; `None` if fewer
+    /// entries received the version.
     pub fn in_force_ms(&self, share: f64) -> Option<f64> {
-        let lacked = |entry: &&EntryOutcome| entry.is_behind || entry.in_force_ms.is_some();
-        let living = self.entries.iter().filter(|entry| entry.is_alive);
-        let mut times_ms: Vec<f64> = living
-            .filter(lacked)
+        let had_to_fetch = |entry: &&EntryOutcome| entry.is_behind || entry.in_force_ms.is_some();
+        let live = self.entries.iter().filter(|entry| entry.is_alive);
+        let mut times_ms: Vec<f64> = live
+            .filter(had_to_fetch)
             .map(|entry| entry.in_force_ms.unwrap_or(f64::INFINITY))
             .collect();
         times_ms.sort_by(f64::total_cmp);
@@ -64,12 +64,10 @@
             .filter(|time_ms| time_ms.is_finite())
     }
 
-    /// Longest time for which a living entry knew of a newer version and none came into force.
+    /// Longest time during which a live entry knew of a newer version and put none in force.
     pub fn longest_wait_ms(&self) -> f64 {
-        let living = self.entries.iter().filter(|entry| entry.is_alive);
-        living
-            .map(|entry| entry.longest_wait_ms)
-            .fold(0.0, f64::max)
+        let live = self.entries.iter().filter(|entry| entry.is_alive);
+        live.map(|entry| entry.longest_wait_ms).fold(0.0, f64::max)
     }
 
     fn mean(&self, of: impl Fn(&EntryOutcome) -> f64) -> f64 {
@@ -81,7 +79,7 @@
     }
 }
 
-/// Heads of a table of runs.
+/// Column heads of a table of runs.
 pub const HEADS: [&str; 16] = [
     "change",
     "transfer",
@@ -101,7 +99,7 @@
     "store calls",
 ];
 
-/// A row of that table. A time that was not reached by the end stands as "never".
+/// Row of the table with [`HEADS`]. A time that was not reached by the end of the run is printed as "never".
 pub fn row(names: [String; 2], plan: &VersionsPlan, outcome: &VersionsOutcome) -> Vec<String> {
     let seconds = |share: f64| match outcome.in_force_ms(share) {
         Some(time_ms) => format!("{:.2}", time_ms / 1_000.0),
--- a/crates/pinhaven-lab/src/versions/plan.rs
+++ b/crates/pinhaven-lab/src/versions/plan.rs
@@ -1,100 +1,101 @@
-//! What a run of versions is made of: how many entries, routes and versions, over which links, and what fails.
+//! Plan of a run: the number of entries, routes and versions, the links, and the injected faults.
 
 use crate::versions::costs::Costs;
 
-/// What each new version changes.
+/// Content of each new version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum VersionChange {
-    /// One route of all that are there.
+    /// Changes one route.
     OneRoute,
-    /// As many routes as the plan names are added to few.
+    /// Adds [`VersionsPlan::routes`] routes to a small first version.
     AddRoutes,
-    /// Nothing; one entry has no version and needs the whole.
+    /// No new version; one entry starts without a version and needs the whole body.
     FreshEntry,
 }
 
-/// How versions travel from entry to entry.
+/// Transfer of versions between entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum Transfer {
-    /// All of it within one second from the peer that told of it, with all routes in each difference. What has
-    /// come when that time is over is thrown away.
+    /// Everything within one second from the peer that advertised the version, with all routes in each difference.
+    /// Data received by then is discarded if the answer is incomplete.
     WholeInASecond,
-    /// In compressed packages, part by part, from any peer that has it.
+    /// Compressed packages, part by part, from any peer that has the version.
     Parts,
 }
 
-/// Something that goes wrong.
+/// Injected fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum VersionFault {
-    /// An entry dies.
+    /// An entry crashes.
     Crashes {
         /// The entry.
         entry: usize,
-        /// When, after the first version was acknowledged.
+        /// Time of the crash after the first version is acknowledged.
         at_ms: u64,
     },
-    /// An entry says that it has each version at once, and answers nobody who asks for it.
+    /// An entry advertises each version as soon as the version is acknowledged, and answers no requests for a version.
     AdvertisesButIsSilent {
         /// The entry.
         entry: usize,
     },
-    /// An entry says that it has each version at once, and tells who asks that it has none.
+    /// An entry advertises each version as soon as the version is acknowledged, and answers requests for a version as
+    /// if it had none.
     AdvertisesButHasNone {
         /// The entry.
         entry: usize,
     },
-    /// Packages are no longer kept once a part of them was given.
+    /// Entries drop their cached packages after each part that they serve.
     PackagesAreDropped,
-    /// Differences don't lead to the signed version at an entry.
+    /// Differences don't yield the signed version at an entry.
     DifferencesFail {
         /// The entry.
         entry: usize,
     },
     /// The store answers only one delegate.
     StoreAnswersOne {
-        /// When it answers the others again, after the first version was acknowledged.
+        /// Time after which the store answers all delegates, counted from the first acknowledgement.
         until_ms: u64,
     },
     /// Calls and datagrams between entries are lost.
     CallsAreLost {
-        /// Share of them, from 0 to 1.
+        /// Lost share, from 0 to 1.
         share: f64,
     },
 }
 
-/// What a run is made of.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct VersionsPlan {
-    /// Entries, in equal parts in the failure domains.
+    /// Number of entries, distributed evenly among the failure domains.
     pub entries: usize,
-    /// Failure domains.
+    /// Number of failure domains.
     pub failure_domains: usize,
-    /// Routes, or routes that a version adds.
+    /// Number of routes, or of routes that each version adds.
     pub routes: usize,
-    /// What each version changes.
+    /// Content of each new version.
     pub change: VersionChange,
-    /// Versions that are acknowledged.
+    /// Number of versions that are acknowledged during the run.
     pub versions: u64,
     /// Time between two acknowledgements.
     pub gap_ms: u64,
-    /// How versions travel.
+    /// Transfer of versions between entries.
     pub transfer: Transfer,
-    /// Link of each entry, shared by all that it sends and receives.
+    /// Rate of each entry's link, shared by everything that the entry sends and receives.
     pub link_mbps: f64,
-    /// Share of a core that an entry has.
+    /// Share of a core per entry, from 0 to 1.
     pub core_share: f64,
-    /// Processor time and memory of each step.
+    /// Cost of each step in processor time and memory.
     pub costs: Costs,
-    /// What goes wrong.
+    /// Injected faults.
     pub faults: Vec<VersionFault>,
-    /// Time after the last acknowledgement at which the run ends, also if entries are behind.
+    /// Time after the last acknowledgement at which the run ends even if entries are behind.
     pub limit_ms: u64,
-    /// Seed of everything drawn.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
 impl VersionsPlan {
-    /// One version, on links of 10 Mbit/s and a tenth of a core, with nothing that goes wrong.
+    /// Creates a plan with one version, links of 10 Mbit/s, a tenth of a core per entry and no faults.
     pub fn new(entries: usize, routes: usize, change: VersionChange, seed: u64) -> Self {
         Self {
             entries,
@@ -113,26 +114,26 @@
         }
     }
 
-    /// The same with other links.
+    /// Sets the rate of each entry's link.
     pub fn with_link_mbps(mut self, link_mbps: f64) -> Self {
         self.link_mbps = link_mbps;
         self
     }
 
-    /// The same with something that goes wrong.
+    /// Adds a fault.
     pub fn with_fault(mut self, fault: VersionFault) -> Self {
         self.faults.push(fault);
         self
     }
 
-    /// The same with several versions, one each `gap_ms`.
+    /// Sets the number of versions and the time between two acknowledgements.
     pub fn with_versions(mut self, versions: u64, gap_ms: u64) -> Self {
         self.versions = versions;
         self.gap_ms = gap_ms;
         self
     }
 
-    /// The same with another way for versions to travel.
+    /// Sets the transfer of versions between entries.
     pub fn with_transfer(mut self, transfer: Transfer) -> Self {
         self.transfer = transfer;
         self
--- a/crates/pinhaven-lab/src/versions/store.rs
+++ b/crates/pinhaven-lab/src/versions/store.rs
@@ -1,4 +1,5 @@
-//! The store: it acknowledges versions, and gives each whole to the entries that follow it.
+//! The emulated store: acknowledges versions and answers the polls of delegates with the whole body of the newest
+//! version.
 
 use crate::versions::message::AnswerInFlight;
 use crate::versions::message::Endpoint;
@@ -13,13 +14,13 @@
 use pinhaven_types::BundleVersion;
 use pinhaven_types::Microseconds;
 
-/// Time that the store takes for an answer, in microseconds.
+/// Time for an answer of the store, in microseconds.
 const ANSWER_US: u64 = 4_000;
-/// Time in which a whole answer must be there where it is not taken piece by piece, and where it is, in
+/// Timeouts of an answer that the delegate receives as a whole and of an answer that it receives piece by piece, in
 /// microseconds, as in an entry.
 const WHOLE_ANSWER_TIMEOUT_US: u64 = 1_500_000;
 const PIECEWISE_ANSWER_TIMEOUT_US: u64 = 52_000_000;
-/// Nanoseconds in a microsecond.
+/// Nanoseconds per microsecond.
 const NS_PER_US: u64 = 1_000;
 
 impl World<'_> {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Whether the store answers an entry.
+    /// Whether the store doesn't answer an entry.
     fn is_store_unavailable(&self, entry: usize) -> bool {
         self.has_fault(|fault| match fault {
             VersionFault::StoreAnswersOne { until_ms } => {
--- a/crates/pinhaven-lab/src/versions/world.rs
+++ b/crates/pinhaven-lab/src/versions/world.rs
@@ -1,4 +1,4 @@
-//! The instances, the store and what happens between them, in emulated time.
+//! Event loop of a run: the entries, the store, and the messages between them in emulated time.
 
 use crate::queue::Queue;
 use crate::versions::carrier::Link;
@@ -20,21 +20,21 @@
 use pinhaven_types::Microseconds;
 use std::collections::BTreeMap;
 
-/// When the first version is acknowledged, after all have met.
+/// Time at which the first version is acknowledged, in microseconds. By then the entries have exchanged heartbeats.
 pub(super) const FIRST_ACKNOWLEDGED_US: u64 = 2_000_000;
-/// One way between two entries, in microseconds.
+/// One-way latency of a message, in microseconds.
 const LATENCY_US: u64 = 1_000;
-/// The store's link, in megabits a second.
+/// Rate of the store's link, in megabits per second.
 const STORE_LINK_MBPS: f64 = 4_000.0;
-/// Bytes of a segment of an answer, and of all segments that may be under way at once.
+/// Size of a segment of an answer, and maximum size of all segments in flight, in bytes.
 const SEGMENT_BYTES: usize = 4 * 1024;
 const WINDOW_BYTES: usize = 64 * 1024;
-/// Bytes that a call or an answer takes beside what it carries.
+/// Overhead of a call or an answer, in bytes.
 pub(super) const ENVELOPE_BYTES: usize = 150;
-/// The version that all hold at first.
+/// Version that the entries hold at the start.
 pub(super) const FIRST_VERSION: BundleVersion = BundleVersion::new(1);
 
-/// Everything of a run.
+/// State of a run.
 pub(super) struct World<'plan> {
     pub(super) plan: &'plan VersionsPlan,
     pub(super) history: History,
@@ -50,7 +50,7 @@
 }
 
 impl<'plan> World<'plan> {
-    /// The start of a plan.
+    /// Creates the initial state of a plan and schedules its first events.
     pub(super) fn new(plan: &'plan VersionsPlan) -> Self {
         let fresh_entry = plan.entries - 1;
         let held = |entry: usize| match plan.change {
@@ -79,7 +79,7 @@
         for entry in 0..self.plan.entries {
             self.schedule_first_round(entry);
         }
-        for index in 0..self.acknowledged() {
+        for index in 0..self.acknowledged_versions() {
             let version = BundleVersion::new(FIRST_VERSION.number() + 1 + index);
             let at_us = FIRST_ACKNOWLEDGED_US + index * self.plan.gap_ms * 1_000;
             self.queue.schedule(at_us, Event::Acknowledged(version));
@@ -92,33 +92,33 @@
         }
     }
 
-    /// Versions that are acknowledged in the run.
-    fn acknowledged(&self) -> u64 {
+    /// Number of versions that are acknowledged during the run.
+    fn acknowledged_versions(&self) -> u64 {
         match self.plan.change {
             VersionChange::FreshEntry => 0,
             _ => self.plan.versions,
         }
     }
 
-    /// When a version is acknowledged.
+    /// Time at which a version is acknowledged.
     pub(super) fn acknowledged_us(&self, version: BundleVersion) -> u64 {
         let index = version.number().saturating_sub(FIRST_VERSION.number() + 1);
         FIRST_ACKNOWLEDGED_US + index * self.plan.gap_ms * 1_000
     }
 
     fn last_version(&self) -> BundleVersion {
-        BundleVersion::new(FIRST_VERSION.number() + self.acknowledged())
+        BundleVersion::new(FIRST_VERSION.number() + self.acknowledged_versions())
     }
 
-    /// When the last version is acknowledged; a fresh entry counts from its start.
+    /// Time at which the last version is acknowledged; 0 if the run acknowledges no version.
     fn last_acknowledged_us(&self) -> u64 {
-        match self.acknowledged() {
+        match self.acknowledged_versions() {
             0 => 0,
             count => FIRST_ACKNOWLEDGED_US + (count - 1) * self.plan.gap_ms * 1_000,
         }
     }
 
-    /// Plays until all living entries have the last version or the time is over.
+    /// Runs until all live entries have the last version or the time limit is reached.
     pub(super) fn run(mut self) -> VersionsOutcome {
         let last = self.last_version();
         let end_us = self.last_acknowledged_us() + self.plan.limit_ms * 1_000;
@@ -137,7 +137,7 @@
         self.outcome()
     }
 
-    /// Time after the last acknowledgement until all entries that die are dead.
+    /// Time after the last acknowledgement until the last crash.
     fn faults_end_us(&self) -> u64 {
         let dies_ms = self.plan.faults.iter().map(|fault| match fault {
             VersionFault::Crashes { at_ms, .. } => *at_ms,
@@ -182,7 +182,7 @@
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::Acknowledged(version) => self.acknowledge(version),
-            Event::ReachedLink(message) => self.reach(message),
+            Event::ReachedLink(message) => self.deliver_to_link(message),
             Event::Received(message) => self.receive(message),
             Event::WorkDone { entry, work } => self.finish_work(entry, work),
             Event::TimedOut { entry, call } => self.handle_timeout(entry, call),
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Lets the processor of an entry work.
+    /// Queues work on an entry's processor.
     pub(super) fn work(&mut self, entry: usize, cost_us: u64, work: Work) {
         let done_us = self.instances[entry].processor.work(cost_us, self.now_us);
         self.queue
@@ -234,7 +234,7 @@
             .schedule(sent_us + LATENCY_US, Event::ReachedLink(message));
     }
 
-    fn reach(&mut self, message: Message) {
+    fn deliver_to_link(&mut self, message: Message) {
         if !self.instances[message.to].is_alive || self.is_lost(&message) {
             return;
         }
@@ -244,7 +244,7 @@
         self.queue.schedule(received_us, Event::Received(message));
     }
 
-    /// Segments are sent again until they are there; whole calls and datagrams are lost.
+    /// Whether a message is lost. Segments are never lost, because the transport retransmits them.
     fn is_lost(&mut self, message: &Message) -> bool {
         if matches!(message.payload, Payload::Segment { .. }) {
             return false;
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Begins an answer that takes `bytes` beside its envelope.
+    /// Starts to send an answer of `bytes` and its overhead.
     pub(super) fn begin_answer(&mut self, bytes: usize, answer: AnswerInFlight) {
         self.answers_started += 1;
         let transfer = self.answers_started;
@@ -313,12 +313,12 @@
         };
         answer.segments_in_flight -= 1;
         let (to, call, from) = (answer.to, answer.call, answer.from);
-        let is_through = answer.unsent_bytes == 0 && answer.segments_in_flight == 0;
+        let is_complete = answer.unsent_bytes == 0 && answer.segments_in_flight == 0;
         if !self.is_awaited(to, call, from) {
             self.answers.remove(&transfer);
             return;
         }
-        if !is_through {
+        if !is_complete {
             self.send_segment(transfer);
             return;
         }
@@ -327,7 +327,7 @@
         }
     }
 
-    /// Whether an answer is still waited for. Of one that is not no further segment is sent.
+    /// Whether the receiver still awaits an answer. If not, no further segment of the answer is sent.
     fn is_awaited(&self, to: usize, call: u64, from: Endpoint) -> bool {
         match from {
             Endpoint::Store => self.instances[to].waits_for_store,
@@ -342,7 +342,7 @@
         }
     }
 
-    /// Puts a version in force, and tells the others at once.
+    /// Puts a version in force at an entry and advertises the version at once.
     pub(super) fn put_in_force(&mut self, entry: usize, version: BundleVersion) {
         let held = self.instances[entry].held;
         if version <= held {
@@ -360,7 +360,7 @@
         self.send_datagrams(entry, true);
     }
 
-    /// Takes in how long an entry has known of a newer version and got none.
+    /// Records how long an entry has known of a newer version without one coming into force.
     fn record_wait(&mut self, entry: usize) {
         let now = self.now();
         let instance = &mut self.instances[entry];
@@ -368,7 +368,7 @@
         instance.longest_wait = instance.longest_wait.max(waited);
     }
 
-    /// Takes in how much memory an entry needs while it takes a version.
+    /// Records the memory that an entry needs while it adopts a version.
     pub(super) fn record_memory(&mut self, entry: usize, to: BundleVersion, received_bytes: usize) {
         let held = self.instances[entry].held;
         let routes = self.history.routes(held) + self.history.routes(to);
