--- a/crates/pinhaven-lab/src/versions/store.rs
+++ b/crates/pinhaven-lab/src/versions/store.rs
@@ -57,8 +57,8 @@
     pub(super) fn poll_store(&mut self, entry: usize) {
         let (head, is_unavailable) = (self.store_head, self.is_store_unavailable(entry));
         let instance = &mut self.instances[entry];
-        let is_up_to_date = instance.store_version_seen >= head || instance.waits_for_store;
-        if !instance.is_alive || !instance.is_delegate || is_up_to_date {
+        let needs_no_poll = instance.store_version_seen >= head || instance.waits_for_store;
+        if !instance.is_alive || !instance.is_delegate || needs_no_poll {
             return;
         }
         instance.store_calls += 1;
