--- a/crates/pinhaven-lab/src/soak.rs
+++ b/crates/pinhaven-lab/src/soak.rs
@@ -1,8 +1,8 @@
-//! A long randomised run of real processes: kills, pauses, planned stops, platform outages, lost
-//! answers, operator races and misbehaving targets, together and again and again.
+//! Soak test: a long run of real processes with random kills, pauses, planned stops, platform outages, lost answers,
+//! competing rolls by two operators, and misbehaving targets.
 //!
-//! The seed decides which faults come and in what order; a run prints it, and the same seed gives the
-//! same schedule again.
+//! The seed determines the faults and their order, so that a run with the same seed repeats the schedule. The command
+//! prints the seed with the results.
 
 use crate::check::broken_promises;
 use crate::check::faults_of_report;
@@ -20,31 +20,31 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Entries of the deployment.
+/// Number of entries.
 const ENTRIES: usize = 5;
-/// Targets of the service.
+/// Number of targets.
 const TARGETS: u64 = 8;
-/// Time between two faults, in milliseconds.
+/// Time between two steps, in milliseconds.
 const STEP_MS: u64 = 700;
-/// Requests a second.
+/// Requests per second of each caller.
 const RATE_PER_S: f64 = 150.0;
-/// Share of requests that may not be repeated, in percent.
+/// Share of once-only requests, in percent.
 const ONCE_PERCENT: u8 = 50;
-/// How long a planned stop may take.
-const STOP_MOST: Duration = Duration::from_secs(20);
-/// Time of the last, quiet part, in milliseconds.
+/// Maximum duration of a planned stop.
+const STOP_MAX: Duration = Duration::from_secs(20);
+/// Duration of the load after the last fault is cleared, in milliseconds.
 const QUIET_MS: u64 = 2_000;
 
-/// What a soak found.
+/// Result of a soak.
 #[derive(Debug, Default)]
 pub struct SoakReport {
-    /// What was done, a line a step.
+    /// Description of each step.
     pub steps: Vec<String>,
-    /// What must not have happened and did.
+    /// Violated checks.
     pub faults: Vec<String>,
-    /// What callers with a home were told.
+    /// Report of the caller that names a home.
     pub with_home: CallerReport,
-    /// What callers without a home were told.
+    /// Report of the caller that names no home.
     pub without_home: CallerReport,
 }
 
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 ///
-/// [`LabError`] when the deployment can't be started.
+/// [`LabError`] if the deployment can't be started.
 pub async fn run(seed: u64, duration_ms: u64) -> Result<SoakReport, LabError> {
     let service = ServicePlan::new("quote", TARGETS, 3, 20.0);
     let settings = json!({"platform_timeout_ms": 500, "ledger_epoch_ms": 20_000});
@@ -75,11 +75,11 @@
     };
     for _ in 0..duration_ms / STEP_MS {
         soak.step().await;
-        soak.look_at_versions().await;
+        soak.check_versions().await;
         sleep_ms(STEP_MS).await;
     }
     let [with_home, without_home] = callers;
-    soak.put_right().await;
+    soak.recover().await;
     soak.report.with_home = with_home.await;
     soak.report.without_home = without_home.await;
     soak.finish().await;
@@ -97,7 +97,7 @@
     lab: Lab,
     random: fastrand::Rng,
     entries: [EntryState; ENTRIES],
-    /// The highest version seen in force at each entry's present run.
+    /// Version last seen in force in the current process of each entry.
     versions_seen: [u64; ENTRIES],
     report: SoakReport,
 }
@@ -109,49 +109,49 @@
             0 => self.kill(index),
             1 => self.pause(index),
             2 => self.stop(index).await,
-            3..=5 => self.bring_back(index),
-            6 => self.break_platform().await,
-            7 => self.mend_platform().await,
+            3..=5 => self.restore_entry(index),
+            6 => self.inject_platform_fault().await,
+            7 => self.clear_platform_faults().await,
             8 => self.roll(),
-            9 => self.race(),
-            10 => self.break_target().await,
-            _ => self.mend_targets().await,
+            9 => self.roll_twice(),
+            10 => self.inject_target_fault().await,
+            _ => self.clear_target_faults().await,
         }
     }
 
-    fn note(&mut self, what: String) {
-        self.report.steps.push(what);
+    fn record_step(&mut self, step: String) {
+        self.report.steps.push(step);
     }
 
-    /// One entry at least is left running.
-    fn may_lose_one(&self) -> bool {
+    /// Whether an entry can be lost with at least one left running.
+    fn can_lose_entry(&self) -> bool {
         let running = self.entries.iter().filter(|e| **e == EntryState::Running);
         running.count() > 1
     }
 
     fn kill(&mut self, index: usize) {
-        if self.may_lose_one() {
-            self.note(format!("kill entry {index}"));
+        if self.can_lose_entry() {
+            self.record_step(format!("kill entry {index}"));
             self.lab.kill_entry(index);
             self.entries[index] = EntryState::Dead;
         }
     }
 
     fn pause(&mut self, index: usize) {
-        if self.entries[index] == EntryState::Running && self.may_lose_one() {
-            self.note(format!("pause entry {index}"));
+        if self.entries[index] == EntryState::Running && self.can_lose_entry() {
+            self.record_step(format!("pause entry {index}"));
             self.lab.entry(index).pause();
             self.entries[index] = EntryState::Paused;
         }
     }
 
     async fn stop(&mut self, index: usize) {
-        if self.entries[index] == EntryState::Running && self.may_lose_one() {
-            self.note(format!("stop entry {index} as planned"));
+        if self.entries[index] == EntryState::Running && self.can_lose_entry() {
+            self.record_step(format!("planned stop of entry {index}"));
             self.lab.entry(index).terminate();
-            let ended = self.lab.entry(index).wait(STOP_MOST).await;
-            if ended != Some(true) {
-                let fault = format!("the planned stop of entry {index} ended as {ended:?}");
+            let exit = self.lab.entry(index).wait(STOP_MAX).await;
+            if exit != Some(true) {
+                let fault = format!("the planned stop of entry {index} ended as {exit:?}");
                 self.report.faults.push(fault);
             }
             self.lab.kill_entry(index);
@@ -159,7 +159,7 @@
         }
     }
 
-    fn bring_back(&mut self, index: usize) {
+    fn restore_entry(&mut self, index: usize) {
         match self.entries[index] {
             EntryState::Running => return,
             EntryState::Paused => self.lab.entry(index).resume(),
@@ -170,11 +170,11 @@
                 self.versions_seen[index] = 0;
             }
         }
-        self.note(format!("bring entry {index} back"));
+        self.record_step(format!("restore entry {index}"));
         self.entries[index] = EntryState::Running;
     }
 
-    async fn break_platform(&mut self) {
+    async fn inject_platform_fault(&mut self) {
         let faults = match self.random.u8(0..5) {
             0 => PlatformFaults {
                 table_down: true,
@@ -199,48 +199,50 @@
                 ..PlatformFaults::default()
             },
         };
-        self.note(format!("platform: {faults:?}"));
+        self.record_step(format!("platform: {faults:?}"));
         self.lab.set_platform_faults(&faults).await;
     }
 
-    async fn mend_platform(&mut self) {
-        self.note("platform: well".to_owned());
+    async fn clear_platform_faults(&mut self) {
+        self.record_step("platform: no faults".to_owned());
         self.lab
             .set_platform_faults(&PlatformFaults::default())
             .await;
     }
 
     fn roll(&mut self) {
-        let bundle = self.changed_bundle();
+        let bundle = self.bundle_with_new_deadline();
         let outcome = self.lab.roll(&bundle);
-        self.note(format!("roll version {}: {outcome:?}", bundle["version"]));
-        self.follow_head();
+        self.record_step(format!("roll version {}: {outcome:?}", bundle["version"]));
+        self.refresh_version();
     }
 
-    /// Two operators roll the same version; one at the most may win.
-    fn race(&mut self) {
+    /// Rolls the same version twice, as two competing operators do. At most one roll may succeed.
+    fn roll_twice(&mut self) {
         let mut won = 0;
         for _ in 0..2 {
-            let bundle = self.changed_bundle();
+            let bundle = self.bundle_with_new_deadline();
             let signed = self.lab.sign(&bundle, "operator");
             won += u32::from(signed.is_ok_and(|file| self.lab.roll_signed(&file).is_ok()));
         }
         if won > 1 {
-            self.report.faults.push("both operators won".to_owned());
+            self.report
+                .faults
+                .push("both competing rolls of a version succeeded".to_owned());
         }
-        self.note(format!("race: {won} won"));
-        self.follow_head();
+        self.record_step(format!("competing rolls: {won} succeeded"));
+        self.refresh_version();
     }
 
-    fn changed_bundle(&mut self) -> serde_json::Value {
+    fn bundle_with_new_deadline(&mut self) -> serde_json::Value {
         let mut bundle = self.lab.bundle();
         let deadline_ms = self.random.u64(900..1_100);
         bundle["services"][0]["deadline_ms"] = json!(deadline_ms);
         bundle
     }
 
-    /// Takes the version over that the platform has, as a roll may have taken effect unseen.
-    fn follow_head(&mut self) {
+    /// Refreshes the newest version from the platform, because a roll that failed may have taken effect.
+    fn refresh_version(&mut self) {
         let history = self.lab.command(&["bundle", "status", "--format", "json"]);
         let rows: serde_json::Value =
             serde_json::from_str(&history.unwrap_or_default()).unwrap_or_default();
@@ -249,7 +251,7 @@
         }
     }
 
-    async fn break_target(&mut self) {
+    async fn inject_target_fault(&mut self) {
         let target = self.lab.targets(0)[self.random.usize(..TARGETS as usize)];
         let mut faults = TargetFaults::default();
         match self.random.u8(0..6) {
@@ -260,12 +262,12 @@
             4 => faults.queue_most = 1,
             _ => faults.lying = true,
         }
-        self.note(format!("target {target}: {faults:?}"));
+        self.record_step(format!("target {target}: {faults:?}"));
         self.lab.set_target_faults(target, &faults).await;
     }
 
-    async fn mend_targets(&mut self) {
-        self.note("targets: well".to_owned());
+    async fn clear_target_faults(&mut self) {
+        self.record_step("targets: no faults".to_owned());
         for target in self.lab.targets(0).to_vec() {
             self.lab
                 .set_target_faults(target, &TargetFaults::default())
@@ -273,8 +275,8 @@
         }
     }
 
-    /// No run of an entry may go back to an older version.
-    async fn look_at_versions(&mut self) {
+    /// Checks that no entry returns to an older version while its process runs.
+    async fn check_versions(&mut self) {
         for index in 0..ENTRIES {
             if self.entries[index] != EntryState::Running {
                 continue;
@@ -285,24 +287,24 @@
             let version = status.own.version.number();
             if version < self.versions_seen[index] {
                 let seen = self.versions_seen[index];
-                let fault = format!("entry {index} went from version {seen} to {version}");
+                let fault = format!("entry {index} returned from version {seen} to {version}");
                 self.report.faults.push(fault);
             }
             self.versions_seen[index] = version;
         }
     }
 
-    async fn put_right(&mut self) {
-        self.mend_platform().await;
-        self.mend_targets().await;
+    async fn recover(&mut self) {
+        self.clear_platform_faults().await;
+        self.clear_target_faults().await;
         for index in 0..ENTRIES {
-            self.bring_back(index);
+            self.restore_entry(index);
         }
     }
 
-    /// After the faults everything serves again, and nothing that was said was wrong.
+    /// Checks that the deployment serves again after the faults and that all reports of callers are correct.
     async fn finish(&mut self) {
-        self.follow_head();
+        self.refresh_version();
         let outcomes = [
             self.lab.wait_until_ready().await,
             self.lab.wait_until_in_force().await,
@@ -316,7 +318,10 @@
         let quiet = CallerSettings::new(seeds, "quote", RATE_PER_S, QUIET_MS);
         let quiet = Caller::new(quiet).run().await.repeatable;
         if quiet.answered * 100 < quiet.sent * 99 {
-            let fault = format!("{} of {} answered after it all", quiet.answered, quiet.sent);
+            let fault = format!(
+                "{} of {} requests answered after the last fault was cleared",
+                quiet.answered, quiet.sent
+            );
             self.report.faults.push(fault);
         }
         let mut faults = Vec::new();
--- a/crates/pinhaven-lab/src/versions/history.rs
+++ b/crates/pinhaven-lab/src/versions/history.rs
@@ -1,7 +1,7 @@
-//! The versions of a run: real bundles of generated routes, the differences between them and their packages.
+//! The versions of a run: real bundles with generated routes, their differences and their packages.
 //!
-//! Packages of the same versions are the same at every entry, so each is made once for all of them, and once
-//! it is checked that it leads to the signed version.
+//! A package between two versions has the same content at every entry. Each package is therefore built, and checked
+//! to yield the signed version, once for all entries.
 
 use crate::versions::plan::VersionChange;
 use crate::versions::plan::VersionsPlan;
@@ -19,51 +19,51 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Routes that are there before any are added.
+/// Routes of the first version if later versions add routes.
 const ROUTES_BEFORE: usize = 10;
-/// Hosts over which the routes are spread.
+/// Hosts among which the routes are distributed.
 const HOSTS: usize = 4;
-/// Time-out of a route that was not changed yet, in milliseconds.
+/// Timeout of an unchanged route, in milliseconds.
 const TIMEOUT_MS: usize = 4_000;
 
-/// What a package leads from and to.
+/// Start and steps of a package.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct PackageKey {
-    /// The version that the receiver holds; `None` for a whole body.
+    /// Version that the receiver holds; `None` for a whole body.
     pub(super) start: Option<BundleVersion>,
-    /// The versions that the differences lead to, one after the other, the last one the package's own.
+    /// Versions that the differences lead to, in order. The last entry is the version of the package.
     pub(super) steps: Vec<BundleVersion>,
 }
 
 impl PackageKey {
-    /// The version that it leads to.
+    /// Version that the package leads to.
     pub(super) fn version(&self) -> BundleVersion {
         self.steps.last().copied().unwrap_or(BundleVersion::NONE)
     }
 }
 
-/// A package, and what receivers find.
+/// A package with the result of unpacking and applying it.
 #[derive(Debug)]
-pub(super) struct MadePackage {
+pub(super) struct BuiltPackage {
     pub(super) key: PackageKey,
     pub(super) package: BundlePackage,
-    /// Routes in it.
+    /// Routes in the package.
     pub(super) routes: usize,
-    /// Whether it leads to the version that was signed.
-    pub(super) is_good: bool,
+    /// Whether the package yields the signed version.
+    pub(super) is_valid: bool,
 }
 
-/// All versions of a run.
+/// All versions of a run, with caches of their differences and packages.
 pub(super) struct History {
     versions: Vec<CanonicalBundle>,
     deltas: HashMap<(BundleVersion, BundleVersion), Rc<BundleDelta>>,
-    packages: HashMap<PackageKey, Rc<MadePackage>>,
-    by_digest: HashMap<Digest, Rc<MadePackage>>,
+    packages: HashMap<PackageKey, Rc<BuiltPackage>>,
+    by_digest: HashMap<Digest, Rc<BuiltPackage>>,
     whole_transfer_bytes: HashMap<PackageKey, usize>,
 }
 
 impl History {
-    /// The version before the run, and those that are acknowledged in it.
+    /// Generates the first version and all versions that are acknowledged during the run.
     pub(super) fn new(plan: &VersionsPlan) -> Self {
         let count = match plan.change {
             VersionChange::FreshEntry => 1,
@@ -74,9 +74,9 @@
             let version = BundleVersion::new(number);
             let bundle = match plan.change {
                 VersionChange::AddRoutes => {
-                    generated(version, 0, ROUTES_BEFORE + changed * plan.routes)
+                    generate_bundle(version, 0, ROUTES_BEFORE + changed * plan.routes)
                 }
-                _ => generated(version, changed, plan.routes),
+                _ => generate_bundle(version, changed, plan.routes),
             };
             CanonicalBundle::new(bundle)
         };
@@ -93,7 +93,7 @@
         &self.versions[version.number() as usize - 1]
     }
 
-    /// Routes of a version.
+    /// Number of routes of a version.
     pub(super) fn routes(&self, version: BundleVersion) -> usize {
         if version == BundleVersion::NONE {
             return 0;
@@ -102,17 +102,17 @@
         hosts.iter().map(|host| host.paths.len()).sum()
     }
 
-    /// Services of a version.
+    /// Number of services of a version.
     pub(super) fn services(&self, version: BundleVersion) -> usize {
         self.body(version).bundle().services.len()
     }
 
-    /// Bytes of a whole body.
+    /// Size of the whole body of a version, in bytes.
     pub(super) fn body_bytes(&self, version: BundleVersion) -> usize {
         self.body(version).bytes().len()
     }
 
-    /// The difference between two versions.
+    /// Difference between two versions.
     pub(super) fn delta(&mut self, from: BundleVersion, to: BundleVersion) -> Rc<BundleDelta> {
         if let Some(delta) = self.deltas.get(&(from, to)) {
             return Rc::clone(delta);
@@ -123,24 +123,24 @@
         delta
     }
 
-    /// The package that leads from and to these versions.
-    pub(super) fn package(&mut self, key: &PackageKey) -> Rc<MadePackage> {
-        if let Some(made) = self.packages.get(key) {
-            return Rc::clone(made);
+    /// Package with a key, built on first use.
+    pub(super) fn package(&mut self, key: &PackageKey) -> Rc<BuiltPackage> {
+        if let Some(built) = self.packages.get(key) {
+            return Rc::clone(built);
         }
-        let made = Rc::new(self.make(key));
-        self.packages.insert(key.clone(), Rc::clone(&made));
-        let digest = made.package.digest();
-        self.by_digest.insert(digest, Rc::clone(&made));
-        made
+        let built = Rc::new(self.build_package(key));
+        self.packages.insert(key.clone(), Rc::clone(&built));
+        let digest = built.package.digest();
+        self.by_digest.insert(digest, Rc::clone(&built));
+        built
     }
 
-    /// The package with these bytes.
-    pub(super) fn package_of(&self, bytes: &[u8]) -> Option<Rc<MadePackage>> {
+    /// Finds the package with these bytes.
+    pub(super) fn find_package(&self, bytes: &[u8]) -> Option<Rc<BuiltPackage>> {
         self.by_digest.get(&Digest::of(bytes)).map(Rc::clone)
     }
 
-    fn make(&mut self, key: &PackageKey) -> MadePackage {
+    fn build_package(&mut self, key: &PackageKey) -> BuiltPackage {
         let deltas = self.deltas_of(key);
         let body = self.body(key.version());
         let head = head_of(body);
@@ -154,16 +154,16 @@
             Some(_) => steps.iter().map(BundleDelta::size).sum(),
             None => self.routes(key.version()),
         };
-        MadePackage {
-            is_good: self.leads_there(key, &package),
+        BuiltPackage {
+            is_valid: self.yields_signed_version(key, &package),
             key: key.clone(),
             package,
             routes,
         }
     }
 
-    /// Whether what a receiver unpacks leads to the version.
-    fn leads_there(&self, key: &PackageKey, package: &BundlePackage) -> bool {
+    /// Whether unpacking and applying a package yields the signed version.
+    fn yields_signed_version(&self, key: &PackageKey, package: &BundlePackage) -> bool {
         let signed = self.body(key.version()).digest();
         let Ok(unpacked) = BundlePackage::unpack(package.bytes()) else {
             return false;
@@ -189,7 +189,7 @@
         deltas
     }
 
-    /// Bytes of the same where each difference carries all routes and nothing is compressed.
+    /// Size of a transfer in which each difference carries all routes and nothing is compressed.
     pub(super) fn whole_transfer_bytes(&mut self, key: &PackageKey) -> usize {
         if key.start.is_none() {
             return self.body_bytes(key.version());
@@ -213,15 +213,16 @@
     }
 }
 
-/// The head that an entry gives with a version which the store acknowledged.
+/// Head that an entry serves with a version acknowledged by the store.
 pub(super) fn head_of(body: &CanonicalBundle) -> BundleHead {
     let offer = Offer::acknowledged(body.clone());
     let offer = offer.expect("the names of an acknowledged version are fixed");
     offer.head().clone()
 }
 
-/// A bundle of `routes` routes, of which the first `changed` have another time-out than at first.
-pub(super) fn generated(version: BundleVersion, changed: usize, routes: usize) -> Bundle {
+/// Generates a bundle with `routes` routes, of which the first `changed` have another timeout than in the first
+/// version.
+pub(super) fn generate_bundle(version: BundleVersion, changed: usize, routes: usize) -> Bundle {
     let hosts: Vec<serde_json::Value> = (0..HOSTS)
         .map(|host| {
             let paths = (host..routes).step_by(HOSTS).map(|number| {
@@ -244,7 +245,7 @@
 }
 
 fn route(number: usize, timeout_ms: usize) -> serde_json::Value {
-    // Numbers that look drawn, so that routes compress like names that people and programs give.
+    // Sequential names would compress far better than the names of real routes, so the numbers are scrambled.
     let drawn = (number as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 24;
     json!({
         "name": format!("route-{drawn:010x}"),
--- a/crates/pinhaven-lab/src/versions/world.rs
+++ b/crates/pinhaven-lab/src/versions/world.rs
@@ -1,11 +1,11 @@
-//! The instances, the store and what happens between them, in emulated time.
+//! Event loop of a run: the entries, the store, and the messages between them in emulated time.
 
 use crate::queue::Queue;
 use crate::versions::carrier::Link;
 use crate::versions::history::History;
 use crate::versions::instance::Instance;
-use crate::versions::message::AnswerUnderWay;
-use crate::versions::message::End;
+use crate::versions::message::AnswerInFlight;
+use crate::versions::message::Endpoint;
 use crate::versions::message::Event;
 use crate::versions::message::Message;
 use crate::versions::message::Payload;
@@ -20,21 +20,21 @@
 use pinhaven_types::Microseconds;
 use std::collections::BTreeMap;
 
-/// When the first version is acknowledged, after all have met.
+/// Time at which the first version is acknowledged, in microseconds. By then the entries have exchanged heartbeats.
 pub(super) const FIRST_ACKNOWLEDGED_US: u64 = 2_000_000;
-/// One way between two entries, in microseconds.
+/// One-way latency of a message, in microseconds.
 const LATENCY_US: u64 = 1_000;
-/// The store's link, in megabits a second.
+/// Rate of the store's link, in megabits per second.
 const STORE_LINK_MBPS: f64 = 4_000.0;
-/// Bytes of a segment of an answer, and of all segments that may be under way at once.
+/// Size of a segment of an answer, and maximum size of all segments in flight, in bytes.
 const SEGMENT_BYTES: usize = 4 * 1024;
 const WINDOW_BYTES: usize = 64 * 1024;
-/// Bytes that a call or an answer takes beside what it carries.
+/// Overhead of a call or an answer, in bytes.
 pub(super) const ENVELOPE_BYTES: usize = 150;
-/// The version that all hold at first.
+/// Version that the entries hold at the start.
 pub(super) const FIRST_VERSION: BundleVersion = BundleVersion::new(1);
 
-/// Everything of a run.
+/// State of a run.
 pub(super) struct World<'plan> {
     pub(super) plan: &'plan VersionsPlan,
     pub(super) history: History,
@@ -44,17 +44,17 @@
     pub(super) random: fastrand::Rng,
     pub(super) store_head: BundleVersion,
     store_link: Link,
-    answers: BTreeMap<u64, AnswerUnderWay>,
-    answers_begun: u64,
+    answers: BTreeMap<u64, AnswerInFlight>,
+    answers_started: u64,
     in_force_us: Vec<Option<u64>>,
 }
 
 impl<'plan> World<'plan> {
-    /// The start of a plan.
+    /// Creates the initial state of a plan and schedules its first events.
     pub(super) fn new(plan: &'plan VersionsPlan) -> Self {
-        let fresh = plan.entries - 1;
+        let fresh_entry = plan.entries - 1;
         let held = |entry: usize| match plan.change {
-            VersionChange::FreshEntry if entry == fresh => BundleVersion::NONE,
+            VersionChange::FreshEntry if entry == fresh_entry => BundleVersion::NONE,
             _ => FIRST_VERSION,
         };
         let instances = (0..plan.entries).map(|entry| Instance::new(entry, held(entry), plan));
@@ -68,57 +68,57 @@
             store_head: FIRST_VERSION,
             store_link: Link::new(STORE_LINK_MBPS),
             answers: BTreeMap::new(),
-            answers_begun: 0,
+            answers_started: 0,
             in_force_us: vec![None; plan.entries],
         };
-        world.plan_start();
+        world.schedule_start();
         world
     }
 
-    fn plan_start(&mut self) {
+    fn schedule_start(&mut self) {
         for entry in 0..self.plan.entries {
-            self.plan_first_round(entry);
+            self.schedule_first_round(entry);
         }
-        for index in 0..self.acknowledged() {
+        for index in 0..self.acknowledged_versions() {
             let version = BundleVersion::new(FIRST_VERSION.number() + 1 + index);
             let at_us = FIRST_ACKNOWLEDGED_US + index * self.plan.gap_ms * 1_000;
-            self.queue.plan(at_us, Event::Acknowledged(version));
+            self.queue.schedule(at_us, Event::Acknowledged(version));
         }
         for fault in &self.plan.faults {
-            if let VersionFault::Dies { entry, at_ms } = fault {
+            if let VersionFault::Crashes { entry, at_ms } = fault {
                 let at_us = FIRST_ACKNOWLEDGED_US + at_ms * 1_000;
-                self.queue.plan(at_us, Event::Dies(*entry));
+                self.queue.schedule(at_us, Event::Crashes(*entry));
             }
         }
     }
 
-    /// Versions that are acknowledged in the run.
-    fn acknowledged(&self) -> u64 {
+    /// Number of versions that are acknowledged during the run.
+    fn acknowledged_versions(&self) -> u64 {
         match self.plan.change {
             VersionChange::FreshEntry => 0,
             _ => self.plan.versions,
         }
     }
 
-    /// When a version is acknowledged.
+    /// Time at which a version is acknowledged.
     pub(super) fn acknowledged_us(&self, version: BundleVersion) -> u64 {
         let index = version.number().saturating_sub(FIRST_VERSION.number() + 1);
         FIRST_ACKNOWLEDGED_US + index * self.plan.gap_ms * 1_000
     }
 
     fn last_version(&self) -> BundleVersion {
-        BundleVersion::new(FIRST_VERSION.number() + self.acknowledged())
+        BundleVersion::new(FIRST_VERSION.number() + self.acknowledged_versions())
     }
 
-    /// When the last version is acknowledged; a fresh entry counts from its start.
+    /// Time at which the last version is acknowledged; 0 if the run acknowledges no version.
     fn last_acknowledged_us(&self) -> u64 {
-        match self.acknowledged() {
+        match self.acknowledged_versions() {
             0 => 0,
             count => FIRST_ACKNOWLEDGED_US + (count - 1) * self.plan.gap_ms * 1_000,
         }
     }
 
-    /// Plays until all living entries have the last version or the time is over.
+    /// Runs until all live entries have the last version or the time limit is reached.
     pub(super) fn run(mut self) -> VersionsOutcome {
         let last = self.last_version();
         let end_us = self.last_acknowledged_us() + self.plan.limit_ms * 1_000;
@@ -127,27 +127,27 @@
                 break;
             }
             self.now_us = at_us;
-            self.happen(event);
-            let lacks = |instance: &Instance| instance.is_alive && instance.held < last;
+            self.handle_event(event);
+            let is_behind = |instance: &Instance| instance.is_alive && instance.held < last;
             let is_over = at_us > self.last_acknowledged_us() + self.faults_end_us();
-            if is_over && !self.instances.iter().any(lacks) {
+            if is_over && !self.instances.iter().any(is_behind) {
                 break;
             }
         }
         self.outcome()
     }
 
-    /// Time after the last acknowledgement until all entries that die are dead.
+    /// Time after the last acknowledgement until the last crash.
     fn faults_end_us(&self) -> u64 {
         let dies_ms = self.plan.faults.iter().map(|fault| match fault {
-            VersionFault::Dies { at_ms, .. } => *at_ms,
+            VersionFault::Crashes { at_ms, .. } => *at_ms,
             _ => 0,
         });
         dies_ms.max().unwrap_or_default() * 1_000
     }
 
     fn outcome(mut self) -> VersionsOutcome {
-        (0..self.instances.len()).for_each(|entry| self.note_wait(entry));
+        (0..self.instances.len()).for_each(|entry| self.record_wait(entry));
         let acknowledged_us = self.last_acknowledged_us();
         let since_ms = |at_us: u64| at_us.saturating_sub(acknowledged_us) as f64 / 1_000.0;
         let last = self.last_version();
@@ -162,7 +162,7 @@
             memory_peak_bytes: instance.memory_peak_bytes,
             store_calls: instance.store_calls,
             failed_tries: instance.failed_tries,
-            sent_away: instance.sent_away,
+            busy_answers: instance.busy_answers,
             longest_wait_ms: instance.longest_wait.as_ms(),
         });
         VersionsOutcome {
@@ -175,36 +175,37 @@
         Microseconds::new(self.now_us)
     }
 
-    pub(super) fn has_fault(&self, is_it: impl Fn(&VersionFault) -> bool) -> bool {
-        self.plan.faults.iter().any(is_it)
+    pub(super) fn has_fault(&self, matches_fault: impl Fn(&VersionFault) -> bool) -> bool {
+        self.plan.faults.iter().any(matches_fault)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Acknowledged(version) => self.acknowledge(version),
-            Event::Reaches(message) => self.reach(message),
+            Event::ReachedLink(message) => self.deliver_to_link(message),
             Event::Received(message) => self.receive(message),
-            Event::Worked { entry, work } => self.worked(entry, work),
-            Event::TimedOut { entry, call } => self.time_out(entry, call),
-            Event::AskAgain { entry, call } => self.ask_again(entry, call),
+            Event::WorkDone { entry, work } => self.finish_work(entry, work),
+            Event::TimedOut { entry, call } => self.handle_timeout(entry, call),
+            Event::RetryFetch { entry, call } => self.retry_fetch(entry, call),
             Event::FetchFrom {
                 entry,
                 peer,
                 version,
             } => self.fetch_if_behind(entry, peer, version),
-            Event::NewsRound(entry) => self.tell_round(entry),
-            Event::AskStore(entry) => self.ask_store(entry),
-            Event::Dies(entry) => self.instances[entry].is_alive = false,
+            Event::DatagramRound(entry) => self.send_round(entry),
+            Event::PollStore(entry) => self.poll_store(entry),
+            Event::Crashes(entry) => self.instances[entry].is_alive = false,
         }
     }
 
-    /// Lets the processor of an entry work.
+    /// Queues work on an entry's processor.
     pub(super) fn work(&mut self, entry: usize, cost_us: u64, work: Work) {
         let done_us = self.instances[entry].processor.work(cost_us, self.now_us);
-        self.queue.plan(done_us, Event::Worked { entry, work });
+        self.queue
+            .schedule(done_us, Event::WorkDone { entry, work });
     }
 
-    fn worked(&mut self, entry: usize, work: Work) {
+    fn finish_work(&mut self, entry: usize, work: Work) {
         if !self.instances[entry].is_alive {
             return;
         }
@@ -214,8 +215,8 @@
                 call,
                 request,
             } => self.answer(entry, asker, call, request),
-            Work::TakeReply { call, reply } => self.take_reply(entry, call, reply),
-            Work::Adopt { call, arrived } => self.adopt_arrived(entry, call, &arrived),
+            Work::HandleReply { call, reply } => self.handle_reply(entry, call, reply),
+            Work::Adopt { call, received } => self.adopt_received(entry, call, &received),
             Work::AdoptStored(version) => self.adopt_stored(entry, version),
         }
     }
@@ -223,25 +224,27 @@
     /// Sends a message over the sender's link.
     pub(super) fn send(&mut self, message: Message) {
         let sent_us = match message.from {
-            End::Store => self.store_link.carry(message.bytes, self.now_us),
-            End::Entry(entry) if !self.instances[entry].is_alive => return,
-            End::Entry(entry) => self.instances[entry].link.carry(message.bytes, self.now_us),
+            Endpoint::Store => self.store_link.transfer(message.bytes, self.now_us),
+            Endpoint::Entry(entry) if !self.instances[entry].is_alive => return,
+            Endpoint::Entry(entry) => self.instances[entry]
+                .link
+                .transfer(message.bytes, self.now_us),
         };
         self.queue
-            .plan(sent_us + LATENCY_US, Event::Reaches(message));
+            .schedule(sent_us + LATENCY_US, Event::ReachedLink(message));
     }
 
-    fn reach(&mut self, message: Message) {
+    fn deliver_to_link(&mut self, message: Message) {
         if !self.instances[message.to].is_alive || self.is_lost(&message) {
             return;
         }
         let received_us = self.instances[message.to]
             .link
-            .carry(message.bytes, self.now_us);
-        self.queue.plan(received_us, Event::Received(message));
+            .transfer(message.bytes, self.now_us);
+        self.queue.schedule(received_us, Event::Received(message));
     }
 
-    /// Segments are sent again until they are there; whole calls and datagrams are lost.
+    /// Whether a message is lost. Segments are never lost, because the transport retransmits them.
     fn is_lost(&mut self, message: &Message) -> bool {
         if matches!(message.payload, Payload::Segment { .. }) {
             return false;
@@ -256,24 +259,26 @@
     fn receive(&mut self, message: Message) {
         let instance = &mut self.instances[message.to];
         match message.from {
-            End::Store => instance.store_bytes += message.bytes as u64,
-            End::Entry(_) => instance.peer_bytes += message.bytes as u64,
+            Endpoint::Store => instance.store_bytes += message.bytes as u64,
+            Endpoint::Entry(_) => instance.peer_bytes += message.bytes as u64,
         }
         match (message.payload, message.from) {
-            (Payload::News(rows), End::Entry(_)) => self.hear(message.to, &rows),
-            (Payload::Ask { call, request }, End::Entry(asker)) => {
-                self.hear_question(message.to, asker, call, request);
+            (Payload::Datagram(rows), Endpoint::Entry(_)) => {
+                self.receive_datagram(message.to, &rows)
+            }
+            (Payload::Ask { call, request }, Endpoint::Entry(asker)) => {
+                self.receive_request(message.to, asker, call, request);
             }
-            (Payload::Segment { transfer }, _) => self.take_segment(transfer),
+            (Payload::Segment { transfer }, _) => self.receive_segment(transfer),
             _ => {}
         }
     }
 
-    /// Begins an answer that takes `bytes` beside its envelope.
-    pub(super) fn begin_answer(&mut self, bytes: usize, answer: AnswerUnderWay) {
-        self.answers_begun += 1;
-        let transfer = self.answers_begun;
-        let answer = AnswerUnderWay {
+    /// Starts to send an answer of `bytes` and its overhead.
+    pub(super) fn begin_answer(&mut self, bytes: usize, answer: AnswerInFlight) {
+        self.answers_started += 1;
+        let transfer = self.answers_started;
+        let answer = AnswerInFlight {
             unsent_bytes: bytes + ENVELOPE_BYTES,
             ..answer
         };
@@ -292,7 +297,7 @@
             return;
         }
         answer.unsent_bytes -= bytes;
-        answer.segments_under_way += 1;
+        answer.segments_in_flight += 1;
         let message = Message {
             from: answer.from,
             to: answer.to,
@@ -302,42 +307,42 @@
         self.send(message);
     }
 
-    fn take_segment(&mut self, transfer: u64) {
+    fn receive_segment(&mut self, transfer: u64) {
         let Some(answer) = self.answers.get_mut(&transfer) else {
             return;
         };
-        answer.segments_under_way -= 1;
+        answer.segments_in_flight -= 1;
         let (to, call, from) = (answer.to, answer.call, answer.from);
-        let is_through = answer.unsent_bytes == 0 && answer.segments_under_way == 0;
-        if !self.is_wanted(to, call, from) {
+        let is_complete = answer.unsent_bytes == 0 && answer.segments_in_flight == 0;
+        if !self.is_awaited(to, call, from) {
             self.answers.remove(&transfer);
             return;
         }
-        if !is_through {
+        if !is_complete {
             self.send_segment(transfer);
             return;
         }
         if let Some(answer) = self.answers.remove(&transfer) {
-            self.take_answer(to, call, answer.reply);
+            self.deliver_answer(to, call, answer.reply);
         }
     }
 
-    /// Whether an answer is still waited for. Of one that is not no further segment is sent.
-    fn is_wanted(&self, to: usize, call: u64, from: End) -> bool {
+    /// Whether the receiver still awaits an answer. If not, no further segment of the answer is sent.
+    fn is_awaited(&self, to: usize, call: u64, from: Endpoint) -> bool {
         match from {
-            End::Store => self.instances[to].waits_for_store,
-            End::Entry(_) => self.awaits(to, call),
+            Endpoint::Store => self.instances[to].waits_for_store,
+            Endpoint::Entry(_) => self.awaits(to, call),
         }
     }
 
-    fn take_answer(&mut self, to: usize, call: u64, reply: Reply) {
+    fn deliver_answer(&mut self, to: usize, call: u64, reply: Reply) {
         match reply {
-            Reply::Stored(version) => self.take_stored(to, version),
-            reply => self.hear_reply(to, call, reply),
+            Reply::Stored(version) => self.receive_stored(to, version),
+            reply => self.receive_reply(to, call, reply),
         }
     }
 
-    /// Puts a version in force, and tells the others at once.
+    /// Puts a version in force at an entry and advertises the version at once.
     pub(super) fn put_in_force(&mut self, entry: usize, version: BundleVersion) {
         let held = self.instances[entry].held;
         if version <= held {
@@ -347,32 +352,32 @@
             BundleVersion::NONE => 0,
             held => self.history.delta(held, version).size(),
         };
-        self.note_wait(entry);
+        self.record_wait(entry);
         self.instances[entry].put_in_force(version, size);
         if version == self.last_version() {
             self.in_force_us[entry] = Some(self.now_us);
         }
-        self.tell(entry, true);
+        self.send_datagrams(entry, true);
     }
 
-    /// Takes in how long an entry has known of a newer version and got none.
-    fn note_wait(&mut self, entry: usize) {
+    /// Records how long an entry has known of a newer version without one coming into force.
+    fn record_wait(&mut self, entry: usize) {
         let now = self.now();
         let instance = &mut self.instances[entry];
         let waited = instance.lag.behind_for(now).unwrap_or_default();
         instance.longest_wait = instance.longest_wait.max(waited);
     }
 
-    /// Takes in how much memory an entry needs while it takes a version.
-    pub(super) fn note_memory(&mut self, entry: usize, to: BundleVersion, came_bytes: usize) {
+    /// Records the memory that an entry needs while it adopts a version.
+    pub(super) fn record_memory(&mut self, entry: usize, to: BundleVersion, received_bytes: usize) {
         let held = self.instances[entry].held;
         let routes = self.history.routes(held) + self.history.routes(to);
         let held_bytes = routes as u64 * self.plan.costs.held_bytes;
         let text_bytes = self.history.body_bytes(to) as u64;
         let instance = &mut self.instances[entry];
-        let changes = instance.changes_kept() as u64 * self.plan.costs.held_bytes;
-        let kept_bytes = instance.package_bytes() as u64 + came_bytes as u64;
-        let bytes = held_bytes + text_bytes + changes + kept_bytes;
+        let changes = instance.retained_changes() as u64 * self.plan.costs.held_bytes;
+        let buffered_bytes = instance.package_bytes() as u64 + received_bytes as u64;
+        let bytes = held_bytes + text_bytes + changes + buffered_bytes;
         instance.memory_peak_bytes = instance.memory_peak_bytes.max(bytes);
     }
 }
