--- a/crates/pinhaven-lab/src/emulate/mod.rs
+++ b/crates/pinhaven-lab/src/emulate/mod.rs
@@ -20,7 +20,7 @@
 pub use plan::Day;
 pub use plan::Deployment;
 pub use plan::EmulationPlan;
-pub use plan::KindPlan;
+pub use plan::RequestKind;
 pub use target::TargetPlan;
 
 /// Plays a plan.
@@ -46,18 +46,18 @@
 
 /// A row of that table.
 pub fn row(names: [String; 3], tally: &Tally) -> Vec<String> {
-    let asked = tally.asked.max(1) as f64;
+    let asked = tally.requests.max(1) as f64;
     let percent = |count: u64| format!("{:.1}", count as f64 * 100.0 / asked);
     let figures = [
         format!("{:.3}", tally.credit()),
         format!("{:.3}", tally.worst_credit()),
         percent(tally.in_time),
         percent(tally.refused),
-        format!("{:.1}", tally.time_ms(0.5)),
-        format!("{:.1}", tally.time_ms(0.99)),
+        format!("{:.1}", tally.latency_ms(0.5)),
+        format!("{:.1}", tally.latency_ms(0.99)),
         percent(tally.added),
         tally.orders.rests.to_string(),
-        (tally.orders.rests_broken + tally.orders.after_leaves).to_string(),
+        (tally.orders.rests_broken + tally.orders.arrivals_after_leave).to_string(),
     ];
     names.into_iter().chain(figures).collect()
 }
--- a/crates/pinhaven-lab/src/emulate/orders.rs
+++ b/crates/pinhaven-lab/src/emulate/orders.rs
@@ -34,7 +34,7 @@
             } if (from..to).contains(&now_ms) && is_among(target, targets, share) => {
                 orders.rest = Some(Microseconds::from_ms(rest_ms));
             }
-            Change::TargetsSayTheyLeave { share, at_ms }
+            Change::TargetsAnnounceLeave { share, at_ms }
                 if now_ms >= at_ms && is_among(target, targets, share) =>
             {
                 orders.leaves = true;
@@ -61,7 +61,7 @@
     /// Those in which more requests came than may.
     pub rests_broken: u64,
     /// Requests that came to a target after it had told their entry that it leaves, but for those under way.
-    pub after_leaves: u64,
+    pub arrivals_after_leave: u64,
     open: HashMap<Pair, Rest>,
     left_at_ms: HashMap<Pair, f64>,
 }
@@ -98,7 +98,7 @@
     pub(super) fn arrive(&mut self, pair: Pair, now_ms: f64) {
         let left_at_ms = self.left_at_ms.get(&pair);
         if left_at_ms.is_some_and(|at_ms| now_ms > at_ms + CROSSING_MS) {
-            self.after_leaves += 1;
+            self.arrivals_after_leave += 1;
         }
         let Some(rest) = self.open.get_mut(&pair) else {
             return;
--- a/crates/pinhaven-lab/src/emulate/outcome.rs
+++ b/crates/pinhaven-lab/src/emulate/outcome.rs
@@ -2,7 +2,7 @@
 
 use super::orders::OrderTally;
 use super::plan::EmulationPlan;
-use super::plan::KindPlan;
+use super::plan::RequestKind;
 use hdrhistogram::Histogram;
 use pinhaven_decide::ServiceCounts;
 
@@ -30,9 +30,9 @@
 /// Counts of an emulation.
 #[derive(Debug)]
 pub struct Tally {
-    kinds: Vec<KindPlan>,
+    kinds: Vec<RequestKind>,
     /// Requests.
-    pub asked: u64,
+    pub requests: u64,
     /// Those answered within their aims.
     pub in_time: u64,
     /// Those answered later.
@@ -53,7 +53,7 @@
         let windows = (plan.length_ms / WINDOW_MS).ceil() as usize;
         Self {
             kinds: plan.kinds.clone(),
-            asked: 0,
+            requests: 0,
             in_time: 0,
             late: 0,
             refused: 0,
@@ -69,7 +69,7 @@
     pub(super) fn count(&mut self, kind: usize, first_ms: f64, took_ms: f64, outcome: Outcome) {
         let plan = self.kinds[kind];
         let is_in_time = took_ms <= plan.aim_ms as f64;
-        self.asked += 1;
+        self.requests += 1;
         let share = match outcome {
             Outcome::Refused => {
                 self.refused += 1;
@@ -120,7 +120,7 @@
     }
 
     /// Time of an answer at a quantile, the ways to the caller included, in milliseconds.
-    pub fn time_ms(&self, quantile: f64) -> f64 {
+    pub fn latency_ms(&self, quantile: f64) -> f64 {
         self.times_us.value_at_quantile(quantile) as f64 / 1_000.0
     }
 }
--- a/crates/pinhaven-lab/src/emulate/plan.rs
+++ b/crates/pinhaven-lab/src/emulate/plan.rs
@@ -5,7 +5,7 @@
 
 /// A kind of request.
 #[derive(Debug, Clone, Copy)]
-pub struct KindPlan {
+pub struct RequestKind {
     /// Share of all requests.
     pub share: f64,
     /// Work on it at usual speed, on average, in milliseconds.
@@ -40,7 +40,7 @@
         at_ms: f64,
     },
     /// This share says with each answer from a time on that it leaves, and serves on.
-    TargetsSayTheyLeave {
+    TargetsAnnounceLeave {
         /// The share.
         share: f64,
         /// When.
@@ -65,7 +65,7 @@
     /// How many there are.
     pub targets: usize,
     /// The kinds of request.
-    pub kinds: Vec<KindPlan>,
+    pub kinds: Vec<RequestKind>,
     /// Load, as a share of what the targets do when all their slots are used at usual speed and the slow
     /// ones do nothing.
     pub load: f64,
@@ -74,7 +74,7 @@
     /// Entries that serve.
     pub entries: usize,
     /// Time between two rounds of news, in milliseconds.
-    pub news_ms: f64,
+    pub update_interval_ms: f64,
     /// Age of a report at which a target is asked, in milliseconds; 0 for never.
     pub probe_ms: f64,
     /// How targets are chosen.
@@ -154,7 +154,7 @@
             }
             Day::ThirdSaysItLeaves => {
                 let (share, at_ms) = (0.34, 5_000.0);
-                (0.5, vec![Change::TargetsSayTheyLeave { share, at_ms }])
+                (0.5, vec![Change::TargetsAnnounceLeave { share, at_ms }])
             }
             Day::ThirdRests => (0.5, vec![rests(0.34)]),
             Day::AllRest => (0.5, vec![rests(1.0)]),
@@ -184,8 +184,8 @@
     }
 }
 
-fn kind(share: f64, work_ms: f64, aim_ms: u64, is_repeatable: bool, priority: u8) -> KindPlan {
-    KindPlan {
+fn kind(share: f64, work_ms: f64, aim_ms: u64, is_repeatable: bool, priority: u8) -> RequestKind {
+    RequestKind {
         share,
         work_ms,
         aim_ms,
@@ -200,12 +200,12 @@
     EmulationPlan {
         target: TargetPlan {
             slots: 6,
-            queue_most: 24,
+            queue_max: 24,
             slow_share: 0.25,
             slow_factor: SLOW_FACTOR,
-            change_ms: CHANGE_MS,
+            speed_change_ms: CHANGE_MS,
             knee: (1.0, 1.0),
-            keeps_speed: false,
+            has_fixed_speed: false,
             is_silent_when_full: false,
         },
         targets: 30,
@@ -231,12 +231,12 @@
     EmulationPlan {
         target: TargetPlan {
             slots: 6,
-            queue_most: 12,
+            queue_max: 12,
             slow_share: 0.25,
             slow_factor: KEPT_SLOW_FACTOR,
-            change_ms: KEPT_CHANGE_MS,
+            speed_change_ms: KEPT_CHANGE_MS,
             knee: SHORT_KNEE,
-            keeps_speed: true,
+            has_fixed_speed: true,
             is_silent_when_full: false,
         },
         targets: 10,
@@ -249,12 +249,12 @@
     EmulationPlan {
         target: TargetPlan {
             slots: 3,
-            queue_most: 6,
+            queue_max: 6,
             slow_share: 0.35,
             slow_factor: SLOW_FACTOR,
-            change_ms: CHANGE_MS,
+            speed_change_ms: CHANGE_MS,
             knee: SHORT_KNEE,
-            keeps_speed: false,
+            has_fixed_speed: false,
             is_silent_when_full: true,
         },
         targets: 28,
@@ -265,7 +265,7 @@
         load: 0.5,
         changes: Vec::new(),
         entries: 6,
-        news_ms: 15.0,
+        update_interval_ms: 15.0,
         probe_ms: 40.0,
         policy: Policy::Forecast,
         length_ms: 20_000.0,
--- a/crates/pinhaven-lab/src/emulate/target.rs
+++ b/crates/pinhaven-lab/src/emulate/target.rs
@@ -11,17 +11,17 @@
     /// Requests that it works on at a time.
     pub slots: usize,
     /// Requests that it queues.
-    pub queue_most: usize,
+    pub queue_max: usize,
     /// Share of the time that it is slow.
     pub slow_share: f64,
     /// How many times longer work takes then.
     pub slow_factor: f64,
     /// Time between two changes of its speed, on average, in milliseconds.
-    pub change_ms: f64,
+    pub speed_change_ms: f64,
     /// Use of its slots past which it is nearly full, and how many times longer work takes then.
     pub knee: (f64, f64),
     /// Whether work keeps the speed with which it began until it ends.
-    pub keeps_speed: bool,
+    pub has_fixed_speed: bool,
     /// Whether it says nothing when it can't queue a request, instead of turning it away.
     pub is_silent_when_full: bool,
 }
@@ -105,7 +105,7 @@
 
     pub(super) fn take(&mut self, work: Work) -> Taken {
         let is_full = self.running.len() >= self.plan.slots;
-        if is_full && self.queue.len() >= self.plan.queue_most {
+        if is_full && self.queue.len() >= self.plan.queue_max {
             return match self.plan.is_silent_when_full {
                 true => Taken::Ignored,
                 false => Taken::TurnedAway,
@@ -132,7 +132,7 @@
 
     /// Sets the speed of what follows the target's; what keeps its own was set when it began.
     fn set_factors(&mut self) {
-        if self.plan.keeps_speed {
+        if self.plan.has_fixed_speed {
             return;
         }
         let factor = self.factor(self.running.len());
--- a/crates/pinhaven-lab/src/emulate/world.rs
+++ b/crates/pinhaven-lab/src/emulate/world.rs
@@ -99,12 +99,12 @@
 
     fn plan_first(&mut self) {
         self.plan_arrival();
-        self.plan_in(self.plan.news_ms, What::News);
+        self.plan_in(self.plan.update_interval_ms, What::News);
         if self.plan.probe_ms > 0.0 {
             self.plan_in(PROBE_TICK_MS, What::Probes);
         }
         for target in 0..self.plan.targets {
-            let in_ms = self.draw_exponential(self.plan.target.change_ms);
+            let in_ms = self.draw_exponential(self.plan.target.speed_change_ms);
             self.plan_in(in_ms, What::SpeedChanges(target));
         }
         for change in &self.plan.changes {
@@ -447,7 +447,7 @@
         self.advance(target);
         self.targets[target].change_speed(&mut self.random);
         self.plan_end(target);
-        let in_ms = self.draw_exponential(self.plan.target.change_ms);
+        let in_ms = self.draw_exponential(self.plan.target.speed_change_ms);
         self.plan_in(in_ms, What::SpeedChanges(target));
     }
 
@@ -464,7 +464,7 @@
         for entry in 0..self.entries.len() {
             self.free_place(entry);
         }
-        self.plan_in(self.plan.news_ms, What::News);
+        self.plan_in(self.plan.update_interval_ms, What::News);
     }
 
     fn tell(&mut self, teller: usize, target: usize) {
--- a/crates/pinhaven-lab/src/main.rs
+++ b/crates/pinhaven-lab/src/main.rs
@@ -252,7 +252,7 @@
                 let change = |plan: &mut EmulationPlan| {
                     plan.load = load.unwrap_or(plan.load);
                     plan.probe_ms = probe_ms.unwrap_or(plan.probe_ms);
-                    plan.news_ms = news_ms.unwrap_or(plan.news_ms);
+                    plan.update_interval_ms = news_ms.unwrap_or(plan.update_interval_ms);
                     plan.entries = entries.unwrap_or(plan.entries);
                 };
                 Ok(print_emulations(&days, deployment, &policies, seed, change))
--- a/crates/pinhaven-lab/tests/emulation.rs
+++ b/crates/pinhaven-lab/tests/emulation.rs
@@ -33,7 +33,7 @@
 fn a_seed_gives_the_same_figures_each_time() {
     let figures = |tally: Tally| {
         (
-            tally.asked,
+            tally.requests,
             tally.in_time,
             tally.late,
             tally.refused,
@@ -49,8 +49,8 @@
 fn every_request_ends() {
     for deployment in DEPLOYMENTS {
         let tally = play(deployment, Day::Overload, Policy::Forecast);
-        assert_eq!(tally.asked, tally.in_time + tally.late + tally.refused);
-        assert!(tally.asked > 1_000);
+        assert_eq!(tally.requests, tally.in_time + tally.late + tally.refused);
+        assert!(tally.requests > 1_000);
     }
 }
 
@@ -121,7 +121,7 @@
 fn old_counts_of_slots_cost_what_fresh_ones_save() {
     let fresh = plan(Deployment::Short, Day::Busy, Policy::Forecast);
     let old = EmulationPlan {
-        news_ms: 400.0,
+        update_interval_ms: 400.0,
         ..fresh.clone()
     };
     assert!(emulate(&fresh).credit() > emulate(&old).credit());
@@ -168,7 +168,7 @@
                 let tally = play(deployment, day, policy);
                 let orders = &tally.orders;
                 assert_eq!(
-                    (orders.rests_broken, orders.after_leaves),
+                    (orders.rests_broken, orders.arrivals_after_leave),
                     (0, 0),
                     "{day:?}"
                 );
@@ -182,7 +182,7 @@
 fn while_a_third_of_the_targets_rests_the_others_serve() {
     let quiet = play(Deployment::Long, Day::Quiet, Policy::Forecast);
     let rests = play(Deployment::Long, Day::ThirdRests, Policy::Forecast);
-    let served = |tally: &Tally| 1.0 - tally.refused as f64 / tally.asked as f64;
+    let served = |tally: &Tally| 1.0 - tally.refused as f64 / tally.requests as f64;
     assert!(
         served(&rests) > 0.97,
         "{} of {}",
