--- a/crates/pinhaven-lab/src/emulate/entry.rs
+++ b/crates/pinhaven-lab/src/emulate/entry.rs
@@ -1,4 +1,4 @@
-//! An entry in emulated time: the product's own state of a service.
+//! An emulated entry, built on the service state and route state of real entries.
 
 use super::plan::EmulationPlan;
 use pinhaven_decide::RouteState;
@@ -8,24 +8,24 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Way between a caller and an entry and back, in milliseconds; it counts against the aim.
-pub(super) const CALLER_WAYS_MS: f64 = 17.0;
-/// Where the emulated clock begins; zero means never in the product.
+/// Network round trip between a caller and an entry, in milliseconds; counts against the aim.
+pub(super) const CALLER_ROUND_TRIP_MS: f64 = 17.0;
+/// Start of the emulated clock, in milliseconds; the decision code reads a time of 0 as "never".
 pub(super) const START_MS: f64 = 1_000_000.0;
-/// Where emulated targets are said to listen: one address each.
+/// Port in the address of the first emulated target; the other targets have the ports that follow.
 pub(super) const FIRST_PORT: usize = 10_000;
 
-/// An entry: its own view of the service and of the routes.
+/// An emulated entry with its own view of the service and the routes.
 pub(super) struct EmulatedEntry {
     pub(super) service: Arc<ServiceState>,
     pub(super) routes: Vec<Arc<RouteState>>,
     pub(super) waiting: VecDeque<usize>,
-    /// Counts that the others were told.
-    pub(super) told: Vec<u32>,
+    /// Requests in flight per target, as last sent to the other entries.
+    pub(super) advertised_in_flight: Vec<u32>,
 }
 
-/// An entry of a plan. Each owns every so many-th target.
-pub(super) fn entry_of(plan: &EmulationPlan, number: usize) -> EmulatedEntry {
+/// Creates an entry of a plan. Targets are assigned to owners in turn, by their numbers.
+pub(super) fn new_entry(plan: &EmulationPlan, number: usize) -> EmulatedEntry {
     let targets: Vec<serde_json::Value> = (0..plan.targets)
         .map(|target| {
             let address = format!("127.0.0.1:{}", FIRST_PORT + target);
@@ -38,14 +38,14 @@
         "hedge_budget_percent": 10.0, "retry_budget_percent": 10.0,
     });
     let service = serde_json::from_value(service)
-        .unwrap_or_else(|error| unreachable!("the service is written above: {error}"));
+        .unwrap_or_else(|error| unreachable!("the service above must be valid: {error}"));
     let state = ServiceState::new(
         &service,
         None,
         Microseconds::new((START_MS * 1_000.0) as u64),
     );
-    for (target, known) in state.targets().iter().enumerate() {
-        known.set_owned(target % plan.entries == number);
+    for (target, target_state) in state.targets().iter().enumerate() {
+        target_state.set_owned(target % plan.entries == number);
     }
     state.refresh_owned();
     EmulatedEntry {
@@ -53,9 +53,9 @@
         routes: plan
             .kinds
             .iter()
-            .map(|kind| Arc::new(RouteState::new(kind.aim_ms - CALLER_WAYS_MS as u64)))
+            .map(|kind| Arc::new(RouteState::new(kind.aim_ms - CALLER_ROUND_TRIP_MS as u64)))
             .collect(),
         waiting: VecDeque::new(),
-        told: vec![0; plan.targets],
+        advertised_in_flight: vec![0; plan.targets],
     }
 }
--- a/crates/pinhaven-lab/src/emulate/mod.rs
+++ b/crates/pinhaven-lab/src/emulate/mod.rs
@@ -1,10 +1,10 @@
-//! The decisions in emulated time, against targets like the users': a round of seconds takes a moment
-//! and is the same each time.
+//! Runs the decision code of entries in emulated time, against emulated targets like the users'. A run of
+//! several seconds completes in a moment, and the same plan and seed give the same result.
 //!
-//! What is emulated: targets that turn slow and back, slow down when nearly full and fall silent when
-//! full; entries that tell each other counts and reports in rounds; callers that come back after a
-//! refusal. What is not: processor time, connections, losses, the store. Where that leads to other
-//! figures than the users' bench, docs/MEASUREMENTS.md says.
+//! Emulated are targets whose speed changes, which slow down when nearly full and reject or ignore requests
+//! when full; entries that exchange in-flight counts and load reports at a fixed interval; and callers that
+//! retry after a refusal. Not emulated are processor time, connections, packet loss and the store.
+//! docs/MEASUREMENTS.md says where the results therefore differ from the users' own measurements.
 
 mod entry;
 mod orders;
@@ -23,12 +23,12 @@
 pub use plan::RequestKind;
 pub use target::TargetPlan;
 
-/// Plays a plan.
+/// Runs a plan and returns its statistics.
 pub fn emulate(plan: &EmulationPlan) -> Tally {
     world::World::new(plan).run()
 }
 
-/// Heads of a table of emulations.
+/// Column heads of the table of results.
 pub const HEADS: [&str; 12] = [
     "deployment",
     "day",
@@ -44,10 +44,10 @@
     "broken",
 ];
 
-/// A row of that table.
+/// Formats the statistics of a run as a row of the table of results.
 pub fn row(names: [String; 3], tally: &Tally) -> Vec<String> {
-    let asked = tally.requests.max(1) as f64;
-    let percent = |count: u64| format!("{:.1}", count as f64 * 100.0 / asked);
+    let requests = tally.requests.max(1) as f64;
+    let percent = |count: u64| format!("{:.1}", count as f64 * 100.0 / requests);
     let figures = [
         format!("{:.3}", tally.credit()),
         format!("{:.3}", tally.worst_credit()),
--- a/crates/pinhaven-lab/src/emulate/orders.rs
+++ b/crates/pinhaven-lab/src/emulate/orders.rs
@@ -1,24 +1,25 @@
-//! What emulated targets ask for with their answers, and whether that is heeded.
+//! Orders that emulated targets send with their answers, and statistics on whether entries follow the orders.
 
 use super::plan::Change;
 use pinhaven_decide::AnswerOrders;
 use pinhaven_types::Microseconds;
 use std::collections::HashMap;
 
-/// How long after the word what was under way may still arrive, in milliseconds; as the users give it.
-const CROSSING_MS: f64 = 500.0;
-/// Requests that may arrive within a rest after that; as the users give it.
-const ARRIVALS_MOST: u32 = 2;
+/// Time after an order during which requests already in flight may still arrive, in milliseconds; as the
+/// users specify.
+const ORDER_GRACE_MS: f64 = 500.0;
+/// Maximum number of requests that may arrive during a rest after the grace period; as the users specify.
+const REST_ARRIVALS_MAX: u32 = 2;
 
-/// An entry and a target, by their numbers.
-pub(super) type Pair = (usize, usize);
+/// Numbers of an entry and a target.
+pub(super) type EntryTargetPair = (usize, usize);
 
-/// Whether the first so many of `targets` have this number.
+/// Whether a target's number is within the first `share` of all `targets`.
 fn is_among(target: usize, targets: usize, share: f64) -> bool {
     target < (targets as f64 * share) as usize
 }
 
-/// What a target asks for at `now_ms`.
+/// Orders that a target sends with an answer at `now_ms`.
 pub(super) fn orders_of(
     changes: &[Change],
     (target, targets): (usize, usize),
@@ -45,7 +46,7 @@
     orders
 }
 
-/// A rest that a target asked an entry for.
+/// A rest that a target ordered an entry to observe.
 #[derive(Debug, Clone, Copy)]
 struct Rest {
     from_ms: f64,
@@ -53,61 +54,67 @@
     arrivals: u32,
 }
 
-/// How the orders of targets were heeded.
+/// Statistics on how entries followed the orders of targets.
 #[derive(Debug, Clone, Default)]
 pub struct OrderTally {
-    /// Rests that were asked for.
+    /// Number of orders to rest that entries received.
     pub rests: u64,
-    /// Those in which more requests came than may.
+    /// Number of rests during which more requests arrived than are allowed.
     pub rests_broken: u64,
-    /// Requests that came to a target after it had told their entry that it leaves, but for those under way.
+    /// Requests that arrived after the target had told their entry that the target leaves, without those that
+    /// arrived within the grace period.
     pub arrivals_after_leave: u64,
-    open: HashMap<Pair, Rest>,
-    left_at_ms: HashMap<Pair, f64>,
+    active_rests: HashMap<EntryTargetPair, Rest>,
+    leaving_since_ms: HashMap<EntryTargetPair, f64>,
 }
 
 impl OrderTally {
-    /// Takes in that an entry has heard a target's orders at `now_ms`.
-    pub(super) fn hear(&mut self, pair: Pair, orders: &AnswerOrders, now_ms: f64) {
+    /// Records the orders that an entry received from a target at `now_ms`.
+    pub(super) fn record_orders(
+        &mut self,
+        pair: EntryTargetPair,
+        orders: &AnswerOrders,
+        now_ms: f64,
+    ) {
         if orders.leaves {
-            self.left_at_ms.entry(pair).or_insert(now_ms);
+            self.leaving_since_ms.entry(pair).or_insert(now_ms);
         }
         let Some(rest) = orders.rest else {
             return;
         };
         self.rests += 1;
         let until_ms = now_ms + rest.as_ms();
-        let known = self
-            .open
+        let active = self
+            .active_rests
             .get_mut(&pair)
-            .filter(|known| known.until_ms > now_ms);
-        match known {
-            Some(known) => known.until_ms = known.until_ms.max(until_ms),
+            .filter(|active| active.until_ms > now_ms);
+        match active {
+            Some(active) => active.until_ms = active.until_ms.max(until_ms),
             None => {
                 let rest = Rest {
                     from_ms: now_ms,
                     until_ms,
                     arrivals: 0,
                 };
-                self.open.insert(pair, rest);
+                self.active_rests.insert(pair, rest);
             }
         }
     }
 
-    /// Takes in that a request of an entry comes to a target at `now_ms`.
-    pub(super) fn arrive(&mut self, pair: Pair, now_ms: f64) {
-        let left_at_ms = self.left_at_ms.get(&pair);
-        if left_at_ms.is_some_and(|at_ms| now_ms > at_ms + CROSSING_MS) {
+    /// Records that a request of an entry arrived at a target at `now_ms`.
+    pub(super) fn record_arrival(&mut self, pair: EntryTargetPair, now_ms: f64) {
+        let leaving_since_ms = self.leaving_since_ms.get(&pair);
+        if leaving_since_ms.is_some_and(|since_ms| now_ms > since_ms + ORDER_GRACE_MS) {
             self.arrivals_after_leave += 1;
         }
-        let Some(rest) = self.open.get_mut(&pair) else {
+        let Some(rest) = self.active_rests.get_mut(&pair) else {
             return;
         };
-        if now_ms <= rest.from_ms + CROSSING_MS || now_ms >= rest.until_ms {
+        if now_ms <= rest.from_ms + ORDER_GRACE_MS || now_ms >= rest.until_ms {
             return;
         }
         rest.arrivals += 1;
-        if rest.arrivals == ARRIVALS_MOST + 1 {
+        if rest.arrivals == REST_ARRIVALS_MAX + 1 {
             self.rests_broken += 1;
         }
     }
--- a/crates/pinhaven-lab/src/emulate/outcome.rs
+++ b/crates/pinhaven-lab/src/emulate/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of an emulation.
+//! Statistics of an emulation run.
 
 use super::orders::OrderTally;
 use super::plan::EmulationPlan;
@@ -6,46 +6,46 @@
 use hdrhistogram::Histogram;
 use pinhaven_decide::ServiceCounts;
 
-/// What a late answer is worth, as a share of one in time.
-const LATE_WORTH: f64 = 0.1;
-/// Length of a window, in milliseconds.
+/// Worth of a late answer, as a share of the worth of an answer within its aim.
+const LATE_ANSWER_WORTH: f64 = 0.1;
+/// Length of a window for which credit is summed, in milliseconds.
 const WINDOW_MS: f64 = 2_000.0;
-/// The longest time that is told apart, in microseconds.
-const TIME_US_MAX: u64 = 60_000_000;
+/// Maximum latency that the histogram distinguishes, in microseconds.
+const LATENCY_US_MAX: u64 = 60_000_000;
 
-/// How a request ended.
+/// Final outcome of a caller's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Outcome {
     Answered,
     Refused,
 }
 
-/// Credit that was earned, of what could be.
+/// Credit earned by answers, and the credit that answers within their aims would have earned.
 #[derive(Debug, Clone, Copy, Default)]
 struct Credit {
     earned: f64,
-    owed: f64,
+    possible: f64,
 }
 
-/// Counts of an emulation.
+/// Statistics of an emulation run.
 #[derive(Debug)]
 pub struct Tally {
     kinds: Vec<RequestKind>,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Those answered within their aims.
+    /// Requests answered within their aims.
     pub in_time: u64,
-    /// Those answered later.
+    /// Requests answered after their aims.
     pub late: u64,
-    /// Those refused to the end.
+    /// Requests refused on every try.
     pub refused: u64,
-    /// Hedges and retries.
+    /// Attempts added by hedges and retries.
     pub added: u64,
-    /// How what targets asked for was heeded.
+    /// How entries followed the orders of targets.
     pub orders: OrderTally,
-    all: Credit,
+    total: Credit,
     windows: Vec<Credit>,
-    times_us: Histogram<u64>,
+    latencies_us: Histogram<u64>,
 }
 
 impl Tally {
@@ -59,16 +59,22 @@
             refused: 0,
             added: 0,
             orders: OrderTally::default(),
-            all: Credit::default(),
+            total: Credit::default(),
             windows: vec![Credit::default(); windows.max(1)],
-            times_us: Histogram::new_with_max(TIME_US_MAX, 3)
+            latencies_us: Histogram::new_with_max(LATENCY_US_MAX, 3)
                 .unwrap_or_else(|_| unreachable!("the bounds are constants")),
         }
     }
 
-    pub(super) fn count(&mut self, kind: usize, first_ms: f64, took_ms: f64, outcome: Outcome) {
-        let plan = self.kinds[kind];
-        let is_in_time = took_ms <= plan.aim_ms as f64;
+    pub(super) fn count(
+        &mut self,
+        kind: usize,
+        started_ms: f64,
+        latency_ms: f64,
+        outcome: Outcome,
+    ) {
+        let request_kind = self.kinds[kind];
+        let is_in_time = latency_ms <= request_kind.aim_ms as f64;
         self.requests += 1;
         let share = match outcome {
             Outcome::Refused => {
@@ -81,17 +87,18 @@
             }
             Outcome::Answered => {
                 self.late += 1;
-                LATE_WORTH
+                LATE_ANSWER_WORTH
             }
         };
         if outcome == Outcome::Answered {
-            self.times_us.saturating_record((took_ms * 1_000.0) as u64);
+            self.latencies_us
+                .saturating_record((latency_ms * 1_000.0) as u64);
         }
-        let window = (first_ms / WINDOW_MS) as usize;
+        let window = (started_ms / WINDOW_MS) as usize;
         let last = self.windows.len() - 1;
-        for credit in [&mut self.all, &mut self.windows[window.min(last)]] {
-            credit.earned += plan.worth * share;
-            credit.owed += plan.worth;
+        for credit in [&mut self.total, &mut self.windows[window.min(last)]] {
+            credit.earned += request_kind.worth * share;
+            credit.possible += request_kind.worth;
         }
     }
 
@@ -99,28 +106,30 @@
         self.added += counts.hedges + counts.retries;
     }
 
-    /// Credit earned of what was owed.
+    /// Earned credit as a share of the possible credit.
     pub fn credit(&self) -> f64 {
-        self.all.earned / self.all.owed.max(f64::MIN_POSITIVE)
+        self.total.earned / self.total.possible.max(f64::MIN_POSITIVE)
     }
 
-    /// The same in the two worst windows of two seconds.
+    /// Mean credit share of the two worst windows of two seconds.
     pub fn worst_credit(&self) -> f64 {
-        let owed = self.windows.iter().filter(|credit| credit.owed > 0.0);
-        let mut shares: Vec<f64> = owed.map(|credit| credit.earned / credit.owed).collect();
+        let counted = self.windows.iter().filter(|credit| credit.possible > 0.0);
+        let mut shares: Vec<f64> = counted
+            .map(|credit| credit.earned / credit.possible)
+            .collect();
         shares.sort_by(f64::total_cmp);
         let worst = &shares[..shares.len().min(2)];
         worst.iter().sum::<f64>() / worst.len().max(1) as f64
     }
 
-    /// The same in one window of two seconds, by its number.
+    /// Credit share of the window of two seconds with this number.
     pub fn window_credit(&self, window: usize) -> f64 {
         let credit = self.windows.get(window).copied().unwrap_or_default();
-        credit.earned / credit.owed.max(f64::MIN_POSITIVE)
+        credit.earned / credit.possible.max(f64::MIN_POSITIVE)
     }
 
-    /// Time of an answer at a quantile, the ways to the caller included, in milliseconds.
+    /// Latency of answers at a quantile, in milliseconds, with the round trip between caller and entry.
     pub fn latency_ms(&self, quantile: f64) -> f64 {
-        self.times_us.value_at_quantile(quantile) as f64 / 1_000.0
+        self.latencies_us.value_at_quantile(quantile) as f64 / 1_000.0
     }
 }
--- a/crates/pinhaven-lab/src/emulate/plan.rs
+++ b/crates/pinhaven-lab/src/emulate/plan.rs
@@ -1,138 +1,137 @@
-//! What is emulated: the targets, the load, the entries, and what they know of each other.
+//! Plan of an emulation run: targets, load, entries, and how often entries exchange and collect state.
 
 use super::target::TargetPlan;
 use pinhaven_bundle::Policy;
 
-/// A kind of request.
+/// Properties of one kind of request.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestKind {
-    /// Share of all requests.
+    /// Share of all requests that are of this kind.
     pub share: f64,
-    /// Work on it at usual speed, on average, in milliseconds.
+    /// Mean work of a request at normal speed, in milliseconds.
     pub work_ms: f64,
-    /// Time within which its answer is worth all it can be, in milliseconds.
+    /// Latency up to which an answer earns its full worth, in milliseconds.
     pub aim_ms: u64,
-    /// How long its caller waits, in milliseconds.
+    /// Maximum time that the caller waits for an answer, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether it may be repeated.
+    /// Whether a request may be repeated.
     pub is_repeatable: bool,
-    /// Importance, from 0 to 3.
+    /// Priority, from 0 to 3.
     pub priority: u8,
-    /// What an answer in time is worth; a late one is worth a tenth of it.
+    /// Credit for an answer within the aim; a late answer earns a tenth of the credit.
     pub worth: f64,
 }
 
-/// A change in the course of a run.
+/// A change of load or of target behaviour during a run.
 #[derive(Debug, Clone, Copy)]
 pub enum Change {
-    /// Callers ask this many times as much, from one time to another, in milliseconds.
+    /// The load is multiplied by a factor for a time.
     Burst {
-        /// How many times.
+        /// Factor by which the load is multiplied.
         factor: f64,
-        /// Begin and end.
+        /// Start and end, in milliseconds.
         between_ms: (f64, f64),
     },
-    /// This share of the targets takes no new work from a time on.
+    /// A share of the targets takes no new work from a time on.
     TargetsLeave {
-        /// The share.
+        /// Share of the targets.
         share: f64,
-        /// When.
+        /// Time of the change, in milliseconds.
         at_ms: f64,
     },
-    /// This share says with each answer from a time on that it leaves, and serves on.
+    /// A share of the targets says with each answer from a time on that the target leaves, and continues to serve.
     TargetsAnnounceLeave {
-        /// The share.
+        /// Share of the targets.
         share: f64,
-        /// When.
+        /// Time of the change, in milliseconds.
         at_ms: f64,
     },
-    /// This share turns all requests away and asks for rest, from one time to another, in milliseconds.
+    /// A share of the targets rejects all requests for a time and orders a rest with each answer.
     TargetsRest {
-        /// The share.
+        /// Share of the targets.
         share: f64,
-        /// Begin and end.
+        /// Start and end, in milliseconds.
         between_ms: (f64, f64),
-        /// The rest that each answer asks for, in milliseconds.
+        /// Length of the rest that each answer orders, in milliseconds.
         rest_ms: u64,
     },
 }
 
-/// A run.
+/// Parameters of an emulation run.
 #[derive(Debug, Clone)]
 pub struct EmulationPlan {
-    /// What targets are like.
+    /// Behaviour of the targets.
     pub target: TargetPlan,
-    /// How many there are.
+    /// Number of targets.
     pub targets: usize,
-    /// The kinds of request.
+    /// Kinds of request.
     pub kinds: Vec<RequestKind>,
-    /// Load, as a share of what the targets do when all their slots are used at usual speed and the slow
-    /// ones do nothing.
+    /// Load, as a share of the capacity of all slots at normal speed when the slow targets contribute nothing.
     pub load: f64,
-    /// What happens meanwhile.
+    /// Changes during the run.
     pub changes: Vec<Change>,
-    /// Entries that serve.
+    /// Number of serving entries.
     pub entries: usize,
-    /// Time between two rounds of news, in milliseconds.
+    /// Interval at which entries send updates to each other, in milliseconds.
     pub update_interval_ms: f64,
-    /// Age of a report at which a target is asked, in milliseconds; 0 for never.
+    /// Age of a target's last report from which the target is probed, in milliseconds; 0 turns probes off.
     pub probe_ms: f64,
-    /// How targets are chosen.
+    /// Policy by which entries choose targets.
     pub policy: Policy,
-    /// How long it lasts, in milliseconds.
+    /// Length of the run, in milliseconds.
     pub length_ms: f64,
-    /// Seed of everything drawn.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// A kind of deployment.
+/// Kind of deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum Deployment {
-    /// Many slots, requests that take longer than a target's speed lasts.
+    /// Many slots; requests take longer than the time between two changes of a target's speed.
     Long,
-    /// Few slots, short requests, targets that slow down when nearly full and fall silent when full.
+    /// Few slots and short requests; targets slow down when nearly full and ignore requests when full.
     Short,
-    /// Few slots, as before, and requests that take long.
+    /// Targets as for short requests, with few slots, and long requests.
     LongOnFew,
-    /// Many slots, requests that keep the speed with which they began, speeds that change often, targets
-    /// that slow down when nearly full.
+    /// Many slots; requests keep the speed at which they started, speeds change often, and targets slow down
+    /// when nearly full.
     Kept,
 }
 
-/// A kind of day.
+/// Load and changes of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum Day {
-    /// Half of what the targets can do.
+    /// Load of about half the targets' capacity.
     Quiet,
-    /// Most of it.
+    /// Load of about three quarters of the targets' capacity.
     Busy,
-    /// A burst of twice as much for three seconds.
+    /// Twice the load for three seconds.
     Burst,
-    /// A third more than the targets can do.
+    /// Load of a third more than the targets' capacity.
     Overload,
-    /// A third of the targets leaves.
+    /// A third of the targets leaves, and all entries know at once.
     ThirdLeaves,
-    /// A third of the targets says with its answers that it leaves, and nobody else does.
+    /// A third of the targets leaves, and only the targets' answers say so.
     ThirdSaysItLeaves,
-    /// A third of the targets turns all requests away for five seconds and asks for rest.
+    /// A third of the targets rejects all requests for five seconds and orders rests.
     ThirdRests,
-    /// All targets do.
+    /// All targets reject all requests for five seconds and order rests.
     AllRest,
 }
 
-/// Slot use past which targets of short requests slow down, and by how much; as the users give it.
+/// Share of used slots above which a target is nearly full, and the slowdown factor then; as the users specify.
 const SHORT_KNEE: (f64, f64) = (0.8, 1.7);
-/// Time between two changes of a target's speed, in milliseconds; as the users give it.
-const CHANGE_MS: f64 = 500.0;
-/// How many times longer work takes at a slow target; as the users give it.
+/// Mean time between two changes of a target's speed, in milliseconds; as the users specify.
+const SPEED_CHANGE_MS: f64 = 500.0;
+/// Slowdown factor of a slow target; as the users specify.
 const SLOW_FACTOR: f64 = 7.0;
-/// Time between two changes where work keeps its speed, in milliseconds; as the users give it.
-const KEPT_CHANGE_MS: f64 = 150.0;
-/// How many times longer work takes there at a slow target; as the users give it.
+/// Mean time between two changes of speed in [`Deployment::Kept`], in milliseconds; as the users specify.
+const KEPT_SPEED_CHANGE_MS: f64 = 150.0;
+/// Slowdown factor of a slow target in [`Deployment::Kept`]; as the users specify.
 const KEPT_SLOW_FACTOR: f64 = 5.0;
 
 impl EmulationPlan {
-    /// A day of a deployment under a policy.
+    /// Plan for a day of a deployment under a policy.
     pub fn new(deployment: Deployment, day: Day, policy: Policy, seed: u64) -> Self {
         let (load, changes) = match day {
             Day::Quiet => (0.45, Vec::new()),
@@ -156,8 +155,8 @@
                 let (share, at_ms) = (0.34, 5_000.0);
                 (0.5, vec![Change::TargetsAnnounceLeave { share, at_ms }])
             }
-            Day::ThirdRests => (0.5, vec![rests(0.34)]),
-            Day::AllRest => (0.5, vec![rests(1.0)]),
+            Day::ThirdRests => (0.5, vec![targets_rest(0.34)]),
+            Day::AllRest => (0.5, vec![targets_rest(1.0)]),
         };
         let plan = match deployment {
             Deployment::Long => long(),
@@ -175,8 +174,8 @@
     }
 }
 
-/// Rests of three seconds, asked for from 5 to 10 s.
-fn rests(share: f64) -> Change {
+/// Rests of 3 s, ordered by a share of the targets from 5 s to 10 s after the start.
+fn targets_rest(share: f64) -> Change {
     Change::TargetsRest {
         share,
         between_ms: (5_000.0, 10_000.0),
@@ -203,7 +202,7 @@
             queue_max: 24,
             slow_share: 0.25,
             slow_factor: SLOW_FACTOR,
-            speed_change_ms: CHANGE_MS,
+            speed_change_ms: SPEED_CHANGE_MS,
             knee: (1.0, 1.0),
             has_fixed_speed: false,
             is_silent_when_full: false,
@@ -234,7 +233,7 @@
             queue_max: 12,
             slow_share: 0.25,
             slow_factor: KEPT_SLOW_FACTOR,
-            speed_change_ms: KEPT_CHANGE_MS,
+            speed_change_ms: KEPT_SPEED_CHANGE_MS,
             knee: SHORT_KNEE,
             has_fixed_speed: true,
             is_silent_when_full: false,
@@ -252,7 +251,7 @@
             queue_max: 6,
             slow_share: 0.35,
             slow_factor: SLOW_FACTOR,
-            speed_change_ms: CHANGE_MS,
+            speed_change_ms: SPEED_CHANGE_MS,
             knee: SHORT_KNEE,
             has_fixed_speed: false,
             is_silent_when_full: true,
--- a/crates/pinhaven-lab/src/emulate/queue.rs
+++ b/crates/pinhaven-lab/src/emulate/queue.rs
@@ -1,35 +1,35 @@
-//! What is going to happen in emulated time, in its order.
+//! Event queue of an emulation, in the order of emulated time.
 
 use pinhaven_decide::AnswerOrders;
 use pinhaven_decide::AttemptId;
 use pinhaven_decide::AttemptOutcome;
 
-/// Something that happens.
+/// An event of the emulation. Callers' requests and targets are given by their numbers.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum What {
+pub(super) enum EmulatedEvent {
     Arrival,
-    Comeback(usize),
-    Reaches {
+    CallerRetry(usize),
+    AttemptArrives {
         request: usize,
         attempt: AttemptId,
         target: usize,
     },
-    TargetEnds {
+    WorkFinishes {
         target: usize,
         generation: u64,
     },
-    Ended {
+    AttemptEnds {
         request: usize,
         attempt: AttemptId,
         outcome: AttemptOutcome,
         orders: AnswerOrders,
     },
-    Wake(usize),
+    TimerFires(usize),
     SpeedChanges(usize),
-    News,
-    Probes,
+    SendUpdates,
+    ProbeTargets,
     TargetsLeave(f64),
 }
 
-/// All that is planned.
-pub(super) type Queue = crate::queue::Queue<What>;
+/// Scheduled events.
+pub(super) type Queue = crate::queue::Queue<EmulatedEvent>;
--- a/crates/pinhaven-lab/src/emulate/target.rs
+++ b/crates/pinhaven-lab/src/emulate/target.rs
@@ -1,51 +1,52 @@
-//! A target in emulated time. It turns slow and back, slows down when it is nearly full, and turns away or
-//! ignores what it can't queue. Work follows its speed, or keeps the one with which it began.
+//! An emulated target. Its speed changes at random, it slows down when it is nearly full, and it rejects or
+//! ignores requests that it can't queue. Running work either follows the target's speed or keeps the speed at
+//! which the work started.
 
 use pinhaven_decide::AttemptId;
 use pinhaven_decide::LoadReport;
 use std::collections::VecDeque;
 
-/// What a target is like.
+/// Behaviour of the targets.
 #[derive(Debug, Clone, Copy)]
 pub struct TargetPlan {
-    /// Requests that it works on at a time.
+    /// Maximum number of requests that a target works on at a time.
     pub slots: usize,
-    /// Requests that it queues.
+    /// Maximum number of requests that a target queues.
     pub queue_max: usize,
-    /// Share of the time that it is slow.
+    /// Share of time for which a target is slow.
     pub slow_share: f64,
-    /// How many times longer work takes then.
+    /// Factor by which work takes longer at a slow target.
     pub slow_factor: f64,
-    /// Time between two changes of its speed, on average, in milliseconds.
+    /// Mean time between two changes of a target's speed, in milliseconds.
     pub speed_change_ms: f64,
-    /// Use of its slots past which it is nearly full, and how many times longer work takes then.
+    /// Share of used slots above which a target is nearly full, and the factor by which work takes longer then.
     pub knee: (f64, f64),
-    /// Whether work keeps the speed with which it began until it ends.
+    /// Whether work keeps the speed at which it started until it ends.
     pub has_fixed_speed: bool,
-    /// Whether it says nothing when it can't queue a request, instead of turning it away.
+    /// Whether a target ignores a request that it can't queue, instead of rejecting the request.
     pub is_silent_when_full: bool,
 }
 
-/// A request at a target.
+/// A request that runs or waits at a target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Work {
     pub(super) request: usize,
     pub(super) attempt: AttemptId,
-    /// Work that is left, in milliseconds at usual speed.
-    pub(super) left_ms: f64,
-    /// How many times longer than usual it takes, since it began.
-    pub(super) factor: f64,
+    /// Remaining work, in milliseconds at normal speed.
+    pub(super) remaining_ms: f64,
+    /// Factor by which the work takes longer than at normal speed.
+    pub(super) slowdown: f64,
 }
 
-/// What a target does with a request.
+/// Result of offering a request to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Taken {
-    Yes,
-    TurnedAway,
-    Ignored,
+pub(super) enum Admission {
+    Accepted,
+    Rejected,
+    Dropped,
 }
 
-/// A target.
+/// State of an emulated target.
 #[derive(Debug)]
 pub(super) struct EmulatedTarget {
     plan: TargetPlan,
@@ -53,7 +54,8 @@
     running: Vec<Work>,
     queue: VecDeque<Work>,
     advanced_to_ms: f64,
-    /// Counts changes, so that an end that was planned before one is known for what it is.
+    /// Number of changes to the running work. A finish event that was scheduled before a change is recognised by
+    /// its lower generation and ignored.
     pub(super) generation: u64,
 }
 
@@ -69,75 +71,82 @@
         }
     }
 
-    /// How many times longer than usual work takes while `running` requests are worked on.
-    fn factor(&self, running: usize) -> f64 {
-        let (from, knee) = self.plan.knee;
-        let is_nearly_full = running as f64 > self.plan.slots as f64 * from;
+    /// Factor by which work takes longer than at normal speed while `running` requests are worked on.
+    fn slowdown(&self, running: usize) -> f64 {
+        let (knee_share, knee_slowdown) = self.plan.knee;
+        let is_nearly_full = running as f64 > self.plan.slots as f64 * knee_share;
         let slow = if self.is_slow {
             self.plan.slow_factor
         } else {
             1.0
         };
-        if is_nearly_full { slow * knee } else { slow }
+        if is_nearly_full {
+            slow * knee_slowdown
+        } else {
+            slow
+        }
     }
 
-    /// Does the work up to `now_ms` and returns what is finished.
+    /// Advances the running work to `now_ms` and returns the finished work.
     pub(super) fn advance(&mut self, now_ms: f64) -> Vec<Work> {
         let time_ms = now_ms - self.advanced_to_ms;
         self.advanced_to_ms = now_ms;
         for work in &mut self.running {
-            work.left_ms -= time_ms / work.factor;
+            work.remaining_ms -= time_ms / work.slowdown;
         }
-        // A thousandth of a millisecond is lost in the rounding of times.
-        let is_finished = |work: &Work| work.left_ms <= 0.001;
+        // Event times are rounded to microseconds, so up to 0.001 ms of finished work can seem to remain.
+        let is_finished = |work: &Work| work.remaining_ms <= 0.001;
         let finished: Vec<Work> = self.running.iter().copied().filter(is_finished).collect();
         self.running.retain(|work| !is_finished(work));
-        self.fill();
+        self.start_queued();
         finished
     }
 
-    /// When the first request is finished if nothing changes.
-    pub(super) fn next_end_ms(&self) -> Option<f64> {
-        let left = self.running.iter().map(|work| work.left_ms * work.factor);
-        let least_ms = left.min_by(f64::total_cmp)?;
-        Some(self.advanced_to_ms + least_ms)
+    /// Time at which the first running request finishes if nothing changes, in milliseconds.
+    pub(super) fn next_finish_ms(&self) -> Option<f64> {
+        let remaining = self
+            .running
+            .iter()
+            .map(|work| work.remaining_ms * work.slowdown);
+        let min_ms = remaining.min_by(f64::total_cmp)?;
+        Some(self.advanced_to_ms + min_ms)
     }
 
-    pub(super) fn take(&mut self, work: Work) -> Taken {
+    pub(super) fn admit(&mut self, work: Work) -> Admission {
         let is_full = self.running.len() >= self.plan.slots;
         if is_full && self.queue.len() >= self.plan.queue_max {
             return match self.plan.is_silent_when_full {
-                true => Taken::Ignored,
-                false => Taken::TurnedAway,
+                true => Admission::Dropped,
+                false => Admission::Rejected,
             };
         }
         self.queue.push_back(work);
-        self.fill();
-        Taken::Yes
+        self.start_queued();
+        Admission::Accepted
     }
 
-    /// Drops a request whose caller has left.
+    /// Removes an attempt that the entry has cancelled.
     pub(super) fn cancel(&mut self, request: usize, attempt: AttemptId) {
         let is_other = |work: &Work| work.request != request || work.attempt != attempt;
         self.running.retain(is_other);
         self.queue.retain(is_other);
-        self.fill();
+        self.start_queued();
     }
 
-    /// Draws whether it is slow from now on.
+    /// Chooses at random whether the target is slow from now on.
     pub(super) fn change_speed(&mut self, random: &mut fastrand::Rng) {
         self.is_slow = random.f64() < self.plan.slow_share;
-        self.set_factors();
+        self.update_slowdowns();
     }
 
-    /// Sets the speed of what follows the target's; what keeps its own was set when it began.
-    fn set_factors(&mut self) {
+    /// Applies the target's current speed to running work, unless work keeps the speed at which it started.
+    fn update_slowdowns(&mut self) {
         if self.plan.has_fixed_speed {
             return;
         }
-        let factor = self.factor(self.running.len());
+        let slowdown = self.slowdown(self.running.len());
         for work in &mut self.running {
-            work.factor = factor;
+            work.slowdown = slowdown;
         }
     }
 
@@ -155,14 +164,14 @@
         }
     }
 
-    fn fill(&mut self) {
+    fn start_queued(&mut self) {
         self.generation += 1;
         while self.running.len() < self.plan.slots
             && let Some(mut work) = self.queue.pop_front()
         {
-            work.factor = self.factor(self.running.len() + 1);
+            work.slowdown = self.slowdown(self.running.len() + 1);
             self.running.push(work);
         }
-        self.set_factors();
+        self.update_slowdowns();
     }
 }
--- a/crates/pinhaven-lab/src/emulate/world.rs
+++ b/crates/pinhaven-lab/src/emulate/world.rs
@@ -1,20 +1,20 @@
-//! Entries, targets and callers in emulated time. The entries' decisions are the product's own; what is
-//! emulated is what they meet.
+//! Entries, targets and callers in emulated time. Emulated entries decide with the code of real entries;
+//! everything around the decision code is emulated.
 
-use super::entry::CALLER_WAYS_MS;
+use super::entry::CALLER_ROUND_TRIP_MS;
 use super::entry::EmulatedEntry;
 use super::entry::FIRST_PORT;
 use super::entry::START_MS;
-use super::entry::entry_of;
+use super::entry::new_entry;
 use super::orders::orders_of;
 use super::outcome::Outcome;
 use super::outcome::Tally;
 use super::plan::Change;
 use super::plan::EmulationPlan;
+use super::queue::EmulatedEvent;
 use super::queue::Queue;
-use super::queue::What;
+use super::target::Admission;
 use super::target::EmulatedTarget;
-use super::target::Taken;
 use super::target::Work;
 use pinhaven_decide::Action;
 use pinhaven_decide::AnswerOrders;
@@ -31,28 +31,28 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Way between an entry and a target, in milliseconds.
-const WAY_MS: f64 = 0.7;
-/// Spread of the work of one kind (sigma of its logarithm).
+/// One-way network delay between an entry and a target, in milliseconds.
+const TARGET_DELAY_MS: f64 = 0.7;
+/// Standard deviation of the logarithm of a request's work.
 const WORK_SIGMA: f64 = 0.3;
-/// Times that a caller comes back after a refusal.
-const COMEBACKS: u32 = 2;
-/// Time between two looks for targets to ask, in milliseconds.
-const PROBE_TICK_MS: f64 = 15.0;
+/// Maximum number of retries by a caller after refusals.
+const CALLER_RETRIES_MAX: u32 = 2;
+/// Interval between checks for targets to probe, in milliseconds.
+const PROBE_CHECK_INTERVAL_MS: f64 = 15.0;
 
-/// One request of a caller, over all its tries.
+/// A caller's request, with its retries after refusals.
 struct Call {
     kind: usize,
     entry: usize,
-    first_ms: f64,
+    started_ms: f64,
     tries: u32,
     state: RequestState,
     attempts: HashMap<u32, (Attempt, usize)>,
-    wants_place: bool,
+    awaits_capacity: bool,
     is_over: bool,
 }
 
-/// The whole emulation.
+/// State of an emulation run.
 pub(super) struct World<'plan> {
     plan: &'plan EmulationPlan,
     random: fastrand::Rng,
@@ -73,7 +73,7 @@
         Self {
             targets: targets.collect(),
             entries: (0..plan.entries)
-                .map(|entry| entry_of(plan, entry))
+                .map(|entry| new_entry(plan, entry))
                 .collect(),
             plan,
             random,
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Plays the whole plan.
+    /// Runs the plan to its end.
     pub(super) fn run(mut self) -> Tally {
-        self.plan_first();
-        while let Some((at_us, what)) = self.queue.next() {
+        self.schedule_initial_events();
+        while let Some((at_us, event)) = self.queue.next() {
             self.now_ms = at_us as f64 / 1_000.0;
-            self.happen(what);
+            self.handle_event(event);
         }
         for entry in &self.entries {
             self.tally.count_added(entry.service.counts());
@@ -97,40 +97,40 @@
         self.tally
     }
 
-    fn plan_first(&mut self) {
-        self.plan_arrival();
-        self.plan_in(self.plan.update_interval_ms, What::News);
+    fn schedule_initial_events(&mut self) {
+        self.schedule_arrival();
+        self.schedule_in(self.plan.update_interval_ms, EmulatedEvent::SendUpdates);
         if self.plan.probe_ms > 0.0 {
-            self.plan_in(PROBE_TICK_MS, What::Probes);
+            self.schedule_in(PROBE_CHECK_INTERVAL_MS, EmulatedEvent::ProbeTargets);
         }
         for target in 0..self.plan.targets {
-            let in_ms = self.draw_exponential(self.plan.target.speed_change_ms);
-            self.plan_in(in_ms, What::SpeedChanges(target));
+            let in_ms = self.sample_exponential(self.plan.target.speed_change_ms);
+            self.schedule_in(in_ms, EmulatedEvent::SpeedChanges(target));
         }
         for change in &self.plan.changes {
             if let Change::TargetsLeave { share, at_ms } = *change {
-                self.plan_in(at_ms, What::TargetsLeave(share));
+                self.schedule_in(at_ms, EmulatedEvent::TargetsLeave(share));
             }
         }
     }
 
-    fn plan_in(&mut self, in_ms: f64, what: What) {
-        self.plan_at_us(((self.now_ms + in_ms) * 1_000.0).ceil() as u64, what);
+    fn schedule_in(&mut self, in_ms: f64, event: EmulatedEvent) {
+        self.schedule_at_us(((self.now_ms + in_ms) * 1_000.0).ceil() as u64, event);
     }
 
-    fn plan_at_us(&mut self, at_us: u64, what: What) {
-        self.queue.plan(at_us, what);
+    fn schedule_at_us(&mut self, at_us: u64, event: EmulatedEvent) {
+        self.queue.plan(at_us, event);
     }
 
     fn now(&self) -> Microseconds {
         Microseconds::new(((START_MS + self.now_ms) * 1_000.0) as u64)
     }
 
-    fn draw_exponential(&mut self, mean_ms: f64) -> f64 {
+    fn sample_exponential(&mut self, mean_ms: f64) -> f64 {
         -mean_ms * (1.0 - self.random.f64()).ln()
     }
 
-    /// Requests a millisecond at this moment.
+    /// Current load, in requests per millisecond.
     fn rate(&self) -> f64 {
         let plan = self.plan;
         let work_ms: f64 = plan
@@ -153,122 +153,126 @@
         rate
     }
 
-    fn plan_arrival(&mut self) {
-        let gap_ms = self.draw_exponential(1.0 / self.rate());
-        self.plan_in(gap_ms, What::Arrival);
+    fn schedule_arrival(&mut self) {
+        let gap_ms = self.sample_exponential(1.0 / self.rate());
+        self.schedule_in(gap_ms, EmulatedEvent::Arrival);
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Arrival => self.arrive(),
-            What::Comeback(call) => self.begin_try(call),
-            What::Reaches {
+    fn handle_event(&mut self, event: EmulatedEvent) {
+        match event {
+            EmulatedEvent::Arrival => self.request_arrived(),
+            EmulatedEvent::CallerRetry(request) => self.begin_try(request),
+            EmulatedEvent::AttemptArrives {
                 request,
                 attempt,
                 target,
-            } => self.reach(request, attempt, target),
-            What::TargetEnds { target, generation } => self.target_ends(target, generation),
-            What::Ended {
+            } => self.attempt_arrived(request, attempt, target),
+            EmulatedEvent::WorkFinishes { target, generation } => {
+                self.work_finished(target, generation)
+            }
+            EmulatedEvent::AttemptEnds {
                 request,
                 attempt,
                 outcome,
                 orders,
             } => {
-                self.hear_orders(request, attempt, &orders);
+                self.apply_orders(request, attempt, &orders);
                 self.attempt_ended(request, attempt, outcome);
             }
-            What::Wake(call) => self.handle(call, Event::TimerFired),
-            What::SpeedChanges(target) => self.change_speed(target),
-            What::News => self.tell_news(),
-            What::Probes => self.probe(),
-            What::TargetsLeave(share) => self.leave(share),
+            EmulatedEvent::TimerFires(request) => {
+                self.handle_request_event(request, Event::TimerFired)
+            }
+            EmulatedEvent::SpeedChanges(target) => self.change_speed(target),
+            EmulatedEvent::SendUpdates => self.send_updates(),
+            EmulatedEvent::ProbeTargets => self.probe_targets(),
+            EmulatedEvent::TargetsLeave(share) => self.mark_leaving(share),
         }
     }
 
-    fn is_going_on(&self) -> bool {
+    fn is_running(&self) -> bool {
         self.now_ms < self.plan.length_ms
     }
 
-    fn arrive(&mut self) {
-        if !self.is_going_on() {
+    fn request_arrived(&mut self) {
+        if !self.is_running() {
             return;
         }
-        let kind = self.draw_kind();
+        let kind = self.sample_kind();
         let entry = self.random.usize(..self.entries.len());
         let state = self.new_state(kind, entry, self.now_ms);
         self.calls.push(Call {
             kind,
             entry,
-            first_ms: self.now_ms,
+            started_ms: self.now_ms,
             tries: 0,
             state,
             attempts: HashMap::new(),
-            wants_place: false,
+            awaits_capacity: false,
             is_over: false,
         });
         self.begin_try(self.calls.len() - 1);
-        self.plan_arrival();
+        self.schedule_arrival();
     }
 
-    fn draw_kind(&mut self) -> usize {
-        let mut left = self.random.f64();
+    fn sample_kind(&mut self) -> usize {
+        let mut remaining = self.random.f64();
         let kinds = &self.plan.kinds;
         let found = kinds.iter().position(|kind| {
-            left -= kind.share;
-            left < 0.0
+            remaining -= kind.share;
+            remaining < 0.0
         });
         found.unwrap_or(kinds.len() - 1)
     }
 
-    fn new_state(&self, kind: usize, entry: usize, first_ms: f64) -> RequestState {
-        let plan = &self.plan.kinds[kind];
-        let waited_ms = self.now_ms - first_ms;
-        let left_ms = plan.deadline_ms as f64 - waited_ms;
+    fn new_state(&self, kind: usize, entry: usize, started_ms: f64) -> RequestState {
+        let request_kind = &self.plan.kinds[kind];
+        let waited_ms = self.now_ms - started_ms;
+        let remaining_ms = request_kind.deadline_ms as f64 - waited_ms;
         let deadline = self
             .now()
-            .plus(Microseconds::new((left_ms.max(0.0) * 1_000.0) as u64));
-        let mut facts = RequestFacts::new(plan.is_repeatable, deadline);
-        facts.priority = Some(plan.priority);
+            .plus(Microseconds::new((remaining_ms.max(0.0) * 1_000.0) as u64));
+        let mut facts = RequestFacts::new(request_kind.is_repeatable, deadline);
+        facts.priority = Some(request_kind.priority);
         facts.prior_wait = Microseconds::new((waited_ms * 1_000.0) as u64);
         RequestState::new(facts).with_route(Arc::clone(&self.entries[entry].routes[kind]))
     }
 
-    fn begin_try(&mut self, call: usize) {
+    fn begin_try(&mut self, request: usize) {
         let entry = self.random.usize(..self.entries.len());
-        let (kind, first_ms) = (self.calls[call].kind, self.calls[call].first_ms);
-        let state = self.new_state(kind, entry, first_ms);
-        let call_state = &mut self.calls[call];
-        call_state.entry = entry;
-        call_state.tries += 1;
-        call_state.state = state;
-        self.handle(call, Event::Arrived);
-    }
-
-    /// Hands an event to a request and carries out what it says.
-    fn handle(&mut self, number: usize, event: Event) {
-        if self.calls[number].is_over {
+        let (kind, started_ms) = (self.calls[request].kind, self.calls[request].started_ms);
+        let state = self.new_state(kind, entry, started_ms);
+        let call = &mut self.calls[request];
+        call.entry = entry;
+        call.tries += 1;
+        call.state = state;
+        self.handle_request_event(request, Event::Arrived);
+    }
+
+    /// Passes an event to the state of a request and carries out the resulting actions.
+    fn handle_request_event(&mut self, request: usize, event: Event) {
+        if self.calls[request].is_over {
             return;
         }
         let now = self.now();
-        let call = &mut self.calls[number];
+        let call = &mut self.calls[request];
         let service = Arc::clone(&self.entries[call.entry].service);
         let step = call.state.handle(&service, now, &mut self.random, event);
-        let wanted_place = std::mem::replace(&mut call.wants_place, step.awaits_capacity);
-        if step.awaits_capacity && !wanted_place {
+        let was_waiting = std::mem::replace(&mut call.awaits_capacity, step.awaits_capacity);
+        if step.awaits_capacity && !was_waiting {
             let entry = call.entry;
-            self.entries[entry].waiting.push_back(number);
+            self.entries[entry].waiting.push_back(request);
         }
         for action in step.actions {
             match action {
-                Action::Send(attempt) => self.send(number, attempt),
-                Action::Cancel(id) => self.cancel(number, id),
-                Action::Deliver(_) => self.end(number, Outcome::Answered),
-                Action::Refuse(refusal) => self.refuse(number, &refusal),
+                Action::Send(attempt) => self.send(request, attempt),
+                Action::Cancel(id) => self.cancel(request, id),
+                Action::Deliver(_) => self.end(request, Outcome::Answered),
+                Action::Refuse(refusal) => self.refuse(request, &refusal),
             }
         }
-        if let Some(at) = step.wake_at.filter(|_| !self.calls[number].is_over) {
+        if let Some(at) = step.wake_at.filter(|_| !self.calls[request].is_over) {
             let at_us = at.count() - (START_MS * 1_000.0) as u64;
-            self.plan_at_us(at_us, What::Wake(number));
+            self.schedule_at_us(at_us, EmulatedEvent::TimerFires(request));
         }
     }
 
@@ -276,9 +280,9 @@
         let target = usize::from(attempt.target.address().socket_address().port()) - FIRST_PORT;
         let id = attempt.id;
         self.calls[request].attempts.insert(id.0, (attempt, target));
-        self.plan_in(
-            WAY_MS,
-            What::Reaches {
+        self.schedule_in(
+            TARGET_DELAY_MS,
+            EmulatedEvent::AttemptArrives {
                 request,
                 attempt: id,
                 target,
@@ -293,93 +297,95 @@
         drop(attempt);
         self.advance(target);
         self.targets[target].cancel(request, id);
-        self.plan_end(target);
-        self.free_place(self.calls[request].entry);
-    }
-
-    fn refuse(&mut self, number: usize, refusal: &Refusal) {
-        let call = &self.calls[number];
-        let plan = &self.plan.kinds[call.kind];
-        let back_ms = refusal.retry_after_ms as f64;
-        let has_time = self.now_ms + back_ms < call.first_ms + plan.deadline_ms as f64;
-        let may_come_back = refusal.run_state == RunState::NotRun || plan.is_repeatable;
-        if may_come_back && has_time && call.tries <= COMEBACKS {
-            self.plan_in(back_ms, What::Comeback(number));
+        self.schedule_finish(target);
+        self.capacity_freed(self.calls[request].entry);
+    }
+
+    fn refuse(&mut self, request: usize, refusal: &Refusal) {
+        let call = &self.calls[request];
+        let request_kind = &self.plan.kinds[call.kind];
+        let retry_after_ms = refusal.retry_after_ms as f64;
+        let has_time =
+            self.now_ms + retry_after_ms < call.started_ms + request_kind.deadline_ms as f64;
+        let may_retry = refusal.run_state == RunState::NotRun || request_kind.is_repeatable;
+        if may_retry && has_time && call.tries <= CALLER_RETRIES_MAX {
+            self.schedule_in(retry_after_ms, EmulatedEvent::CallerRetry(request));
         } else {
-            self.end(number, Outcome::Refused);
+            self.end(request, Outcome::Refused);
         }
     }
 
-    fn end(&mut self, number: usize, outcome: Outcome) {
-        let call = &mut self.calls[number];
+    fn end(&mut self, request: usize, outcome: Outcome) {
+        let call = &mut self.calls[request];
         call.is_over = true;
         call.attempts.clear();
-        let took_ms = self.now_ms - call.first_ms + CALLER_WAYS_MS;
-        let (kind, entry, first_ms) = (call.kind, call.entry, call.first_ms);
-        self.tally.count(kind, first_ms, took_ms, outcome);
-        self.free_place(entry);
+        let latency_ms = self.now_ms - call.started_ms + CALLER_ROUND_TRIP_MS;
+        let (kind, entry, started_ms) = (call.kind, call.entry, call.started_ms);
+        self.tally.count(kind, started_ms, latency_ms, outcome);
+        self.capacity_freed(entry);
     }
 
-    /// Lets the most urgent request that waits at an entry look again.
-    fn free_place(&mut self, entry: usize) {
+    /// Tells the waiting request with the highest priority at an entry that capacity may be free.
+    fn capacity_freed(&mut self, entry: usize) {
         let calls = &self.calls;
-        let waits = |call: &usize| calls[*call].wants_place && !calls[*call].is_over;
-        self.entries[entry].waiting.retain(waits);
-        let urgency = |call: &usize| Reverse(self.plan.kinds[calls[*call].kind].priority);
+        let is_waiting =
+            |request: &usize| calls[*request].awaits_capacity && !calls[*request].is_over;
+        self.entries[entry].waiting.retain(is_waiting);
+        let urgency = |request: &usize| Reverse(self.plan.kinds[calls[*request].kind].priority);
         let first = self.entries[entry]
             .waiting
             .iter()
             .copied()
             .min_by_key(urgency);
         if let Some(first) = first {
-            self.handle(first, Event::CapacityFreed);
+            self.handle_request_event(first, Event::CapacityFreed);
         }
     }
 
-    fn reach(&mut self, request: usize, attempt: AttemptId, target: usize) {
+    fn attempt_arrived(&mut self, request: usize, attempt: AttemptId, target: usize) {
         if !self.calls[request].attempts.contains_key(&attempt.0) {
             return;
         }
         let pair = (self.calls[request].entry, target);
-        self.tally.orders.arrive(pair, self.now_ms);
+        self.tally.orders.record_arrival(pair, self.now_ms);
         if self.orders_of(target).rest.is_some() {
             self.advance(target);
-            return self.turn_away(request, attempt, target);
+            return self.reject(request, attempt, target);
         }
         let mean_ms = self.plan.kinds[self.calls[request].kind].work_ms;
-        let left_ms = self.draw_work(mean_ms);
+        let remaining_ms = self.sample_work(mean_ms);
         self.advance(target);
-        let taken = self.targets[target].take(Work {
+        let admission = self.targets[target].admit(Work {
             request,
             attempt,
-            left_ms,
-            factor: 1.0,
+            remaining_ms,
+            slowdown: 1.0,
         });
-        self.plan_end(target);
-        if taken == Taken::TurnedAway {
-            self.turn_away(request, attempt, target);
+        self.schedule_finish(target);
+        if admission == Admission::Rejected {
+            self.reject(request, attempt, target);
         }
     }
 
-    fn turn_away(&mut self, request: usize, attempt: AttemptId, target: usize) {
+    fn reject(&mut self, request: usize, attempt: AttemptId, target: usize) {
         let report = Some(self.targets[target].report());
-        let ended = What::Ended {
+        let ended = EmulatedEvent::AttemptEnds {
             request,
             attempt,
             outcome: AttemptOutcome::Shed { report },
             orders: self.orders_of(target),
         };
-        self.plan_in(WAY_MS, ended);
+        self.schedule_in(TARGET_DELAY_MS, ended);
     }
 
-    /// What a target asks for now.
+    /// Orders that a target sends with an answer now.
     fn orders_of(&self, target: usize) -> AnswerOrders {
-        let number = (target, self.plan.targets);
-        orders_of(&self.plan.changes, number, self.now_ms)
+        let number_and_count = (target, self.plan.targets);
+        orders_of(&self.plan.changes, number_and_count, self.now_ms)
     }
 
-    /// Takes in what a target asks for with an answer, unless the request was given up before.
-    fn hear_orders(&mut self, request: usize, attempt: AttemptId, orders: &AnswerOrders) {
+    /// Applies the orders of an answer, unless the attempt was cancelled before.
+    fn apply_orders(&mut self, request: usize, attempt: AttemptId, orders: &AnswerOrders) {
         let call = &self.calls[request];
         let Some((attempt, target)) = call.attempts.get(&attempt.0) else {
             return;
@@ -387,17 +393,17 @@
         attempt.target.record_orders(orders, self.now());
         self.tally
             .orders
-            .hear((call.entry, *target), orders, self.now_ms);
+            .record_orders((call.entry, *target), orders, self.now_ms);
     }
 
-    fn draw_work(&mut self, mean_ms: f64) -> f64 {
-        // Two uniform draws give a normal one (Box and Muller).
+    fn sample_work(&mut self, mean_ms: f64) -> f64 {
+        // The Box-Muller transform makes a normally distributed value from two uniform ones.
         let radius = (-2.0 * (1.0 - self.random.f64()).ln()).sqrt();
         let normal = radius * (std::f64::consts::TAU * self.random.f64()).cos();
         mean_ms * (WORK_SIGMA * normal - WORK_SIGMA * WORK_SIGMA / 2.0).exp()
     }
 
-    /// Brings a target up to now, and sends the answers of what is finished.
+    /// Advances a target to the current time and sends the answers of finished requests.
     fn advance(&mut self, target: usize) {
         let finished = self.targets[target].advance(self.now_ms);
         let report = Some(self.targets[target].report());
@@ -406,112 +412,115 @@
                 is_server_error: false,
                 report,
             };
-            let ended = What::Ended {
+            let ended = EmulatedEvent::AttemptEnds {
                 request: work.request,
                 attempt: work.attempt,
                 outcome,
                 orders: self.orders_of(target),
             };
-            self.plan_in(WAY_MS, ended);
+            self.schedule_in(TARGET_DELAY_MS, ended);
         }
     }
 
-    fn plan_end(&mut self, target: usize) {
+    fn schedule_finish(&mut self, target: usize) {
         let generation = self.targets[target].generation;
-        if let Some(at_ms) = self.targets[target].next_end_ms() {
+        if let Some(at_ms) = self.targets[target].next_finish_ms() {
             let in_ms = (at_ms - self.now_ms).max(0.0);
-            self.plan_in(in_ms, What::TargetEnds { target, generation });
+            self.schedule_in(in_ms, EmulatedEvent::WorkFinishes { target, generation });
         }
     }
 
-    fn target_ends(&mut self, target: usize, generation: u64) {
+    fn work_finished(&mut self, target: usize, generation: u64) {
         if self.targets[target].generation != generation {
             return;
         }
         self.advance(target);
-        self.plan_end(target);
+        self.schedule_finish(target);
     }
 
     fn attempt_ended(&mut self, request: usize, attempt: AttemptId, outcome: AttemptOutcome) {
         if self.calls[request].attempts.remove(&attempt.0).is_none() {
             return;
         }
-        self.handle(request, Event::AttemptEnded { attempt, outcome });
-        self.free_place(self.calls[request].entry);
+        self.handle_request_event(request, Event::AttemptEnded { attempt, outcome });
+        self.capacity_freed(self.calls[request].entry);
     }
 
     fn change_speed(&mut self, target: usize) {
-        if !self.is_going_on() {
+        if !self.is_running() {
             return;
         }
         self.advance(target);
         self.targets[target].change_speed(&mut self.random);
-        self.plan_end(target);
-        let in_ms = self.draw_exponential(self.plan.target.speed_change_ms);
-        self.plan_in(in_ms, What::SpeedChanges(target));
+        self.schedule_finish(target);
+        let in_ms = self.sample_exponential(self.plan.target.speed_change_ms);
+        self.schedule_in(in_ms, EmulatedEvent::SpeedChanges(target));
     }
 
-    /// Each entry tells the others what it has under way and what targets have told it.
-    fn tell_news(&mut self) {
-        if !self.is_going_on() {
+    /// Sends the in-flight counts and target reports of each entry to the other entries.
+    fn send_updates(&mut self) {
+        if !self.is_running() {
             return;
         }
-        for teller in 0..self.entries.len() {
+        for sender in 0..self.entries.len() {
             for target in 0..self.plan.targets {
-                self.tell(teller, target);
+                self.send_update(sender, target);
             }
         }
         for entry in 0..self.entries.len() {
-            self.free_place(entry);
+            self.capacity_freed(entry);
         }
-        self.plan_in(self.plan.update_interval_ms, What::News);
+        self.schedule_in(self.plan.update_interval_ms, EmulatedEvent::SendUpdates);
     }
 
-    fn tell(&mut self, teller: usize, target: usize) {
+    fn send_update(&mut self, sender: usize, target: usize) {
         let now = self.now();
-        let known = &self.entries[teller].service.targets()[target];
-        let (in_flight, report) = (known.in_flight(), known.directly_reported_speed());
+        let own_state = &self.entries[sender].service.targets()[target];
+        let (in_flight, report) = (own_state.in_flight(), own_state.directly_reported_speed());
         let leaves = AnswerOrders {
-            leaves: known.is_leaving(),
+            leaves: own_state.is_leaving(),
             rest: None,
         };
-        let before = std::mem::replace(&mut self.entries[teller].told[target], in_flight);
-        for (number, entry) in self.entries.iter().enumerate() {
-            if number == teller {
+        let previous = std::mem::replace(
+            &mut self.entries[sender].advertised_in_flight[target],
+            in_flight,
+        );
+        for (peer, entry) in self.entries.iter().enumerate() {
+            if peer == sender {
                 continue;
             }
-            let heard = &entry.service.targets()[target];
-            heard.record_peer_in_flight(before, in_flight);
-            heard.record_orders(&leaves, now);
+            let peer_state = &entry.service.targets()[target];
+            peer_state.record_peer_in_flight(previous, in_flight);
+            peer_state.record_orders(&leaves, now);
             if let Some((slowdown, at)) = report {
-                entry.service.record_speed(heard, at, slowdown);
+                entry.service.record_speed(peer_state, at, slowdown);
             }
         }
     }
 
-    /// Each entry asks those of its targets whose last word is old.
-    fn probe(&mut self) {
-        if !self.is_going_on() {
+    /// Probes targets whose last report has reached the plan's probe age, each target by its owner.
+    fn probe_targets(&mut self) {
+        if !self.is_running() {
             return;
         }
         let now = self.now();
         for target in 0..self.plan.targets {
             self.advance(target);
-            self.plan_end(target);
+            self.schedule_finish(target);
             let service = &self.entries[target % self.entries.len()].service;
-            let known = &service.targets()[target];
-            let age = known
+            let target_state = &service.targets()[target];
+            let age = target_state
                 .reported_speed()
                 .map(|(_, at)| now.saturating_sub(at).as_ms());
             let is_due = age.is_none_or(|age| age >= self.plan.probe_ms);
-            if is_due && known.send_permit(now).is_ok() {
-                service.record_report(known, now, &self.targets[target].report());
+            if is_due && target_state.send_permit(now).is_ok() {
+                service.record_report(target_state, now, &self.targets[target].report());
             }
         }
-        self.plan_in(PROBE_TICK_MS, What::Probes);
+        self.schedule_in(PROBE_CHECK_INTERVAL_MS, EmulatedEvent::ProbeTargets);
     }
 
-    fn leave(&mut self, share: f64) {
+    fn mark_leaving(&mut self, share: f64) {
         let count = (self.plan.targets as f64 * share) as usize;
         for entry in &self.entries {
             entry.service.targets()[..count]
