--- a/crates/pinhaven-lab/src/measure/added.rs
+++ b/crates/pinhaven-lab/src/measure/added.rs
@@ -1,7 +1,7 @@
-//! Time that an entry adds to a call.
+//! Latency that an entry adds to a request.
 //!
-//! The same caller goes to the same targets straight and through an entry, in turn within one run, so
-//! that whatever else the machine does falls on both.
+//! A caller sends requests to the same targets directly and through an entry. The two paths alternate in short
+//! slices of one run, so that other load on the machine affects both.
 
 use super::MeasureSettings;
 use super::median;
@@ -15,13 +15,13 @@
 use pinhaven_stand_in::caller::CallerSettings;
 use serde_json::json;
 
-/// Requests a second, about half of what one entry thread carries.
+/// Requests per second, up to about half of what one entry thread can serve.
 const RATES_PER_S: [f64; 3] = [500.0, 2_000.0, 4_000.0];
-/// Threads of the entry.
+/// Numbers of worker threads of the entry.
 const THREADS: [usize; 3] = [1, 2, 4];
-/// Length of one turn, in milliseconds.
-const TURN_MS: u64 = 1_000;
-/// Time of a request at a target, in milliseconds.
+/// Length of a slice with requests on one path, in milliseconds.
+const SLICE_MS: u64 = 1_000;
+/// Duration of a request at a target, in milliseconds.
 const MEAN_MS: f64 = 1.0;
 
 pub(super) async fn run(settings: &MeasureSettings) -> Result<(), LabError> {
@@ -34,7 +34,7 @@
         let plan = LabPlan::new(1, vec![service.clone()]);
         let plan = plan.with_settings(json!({"worker_threads": threads}));
         let lab = Lab::start(plan).await?;
-        run_threads(settings, &lab, threads, &mut rows).await;
+        measure_rates(settings, &lab, threads, &mut rows).await;
     }
     publish(
         &settings.folder,
@@ -53,62 +53,67 @@
     )
 }
 
-async fn run_threads(
+async fn measure_rates(
     settings: &MeasureSettings,
     lab: &Lab,
     threads: usize,
     rows: &mut Vec<Vec<String>>,
 ) {
     for rate in RATES_PER_S {
-        let turns = (settings.run_ms / TURN_MS).max(2) * settings.runs;
+        let slices = (settings.run_ms / SLICE_MS).max(2) * settings.runs;
         let mut direct = Vec::new();
-        let mut through = Vec::new();
+        let mut through_entry = Vec::new();
         let cpu_before = lab.entries_cpu_s();
         let mut answered = 0;
-        for turn in 0..turns {
-            direct.push(one_turn(lab, rate, turn, true).await);
-            let report = one_turn(lab, rate, turn, false).await;
+        for slice in 0..slices {
+            direct.push(run_slice(lab, rate, slice, true).await);
+            let report = run_slice(lab, rate, slice, false).await;
             answered += report.repeatable.answered;
-            through.push(report);
+            through_entry.push(report);
         }
         let cpu_us = (lab.entries_cpu_s() - cpu_before) * 1_000_000.0 / answered.max(1) as f64;
         let mut cells = vec![threads.to_string()];
-        cells.extend(row(rate, &direct, &through, cpu_us));
+        cells.extend(row(rate, &direct, &through_entry, cpu_us));
         rows.push(cells);
     }
 }
 
-async fn one_turn(lab: &Lab, rate: f64, seed: u64, is_direct: bool) -> CallerReport {
+async fn run_slice(lab: &Lab, rate: f64, seed: u64, is_direct: bool) -> CallerReport {
     let seeds = lab.caller_addresses().await;
-    let mut caller = CallerSettings::new(seeds, "echo", rate, TURN_MS);
+    let mut caller = CallerSettings::new(seeds, "echo", rate, SLICE_MS);
     caller.seed = seed;
-    caller.warm_up_ms = TURN_MS / 5;
+    caller.warm_up_ms = SLICE_MS / 5;
     if is_direct {
         caller.direct = lab.targets(0).to_vec();
     }
     Caller::new(caller).run().await
 }
 
-fn row(rate: f64, direct: &[CallerReport], through: &[CallerReport], cpu_us: f64) -> Vec<String> {
-    let figures = |reports: &[CallerReport]| {
-        let of = |pick: fn(&CallerReport) -> f64| {
+fn row(
+    rate: f64,
+    direct: &[CallerReport],
+    through_entry: &[CallerReport],
+    cpu_us: f64,
+) -> Vec<String> {
+    let percentiles = |reports: &[CallerReport]| {
+        let median_of = |pick: fn(&CallerReport) -> f64| {
             median(&reports.iter().map(pick).collect::<Vec<f64>>())
         };
         [
-            of(|report| report.repeatable.p50_ms),
-            of(|report| report.repeatable.p99_ms),
-            of(|report| report.repeatable.p999_ms),
+            median_of(|report| report.repeatable.p50_ms),
+            median_of(|report| report.repeatable.p99_ms),
+            median_of(|report| report.repeatable.p999_ms),
         ]
     };
-    let (direct, through) = (figures(direct), figures(through));
+    let (direct, through_entry) = (percentiles(direct), percentiles(through_entry));
     let text = |f: [f64; 3]| format!("{:.2}/{:.2}/{:.2}", f[0], f[1], f[2]);
     vec![
         format!("{rate:.0}"),
-        format!("{:.2}", through[0] - direct[0]),
-        format!("{:.2}", through[1] - direct[1]),
-        format!("{:.2}", through[2] - direct[2]),
+        format!("{:.2}", through_entry[0] - direct[0]),
+        format!("{:.2}", through_entry[1] - direct[1]),
+        format!("{:.2}", through_entry[2] - direct[2]),
         text(direct),
-        text(through),
+        text(through_entry),
         format!("{cpu_us:.0}"),
     ]
 }
--- a/crates/pinhaven-lab/src/measure/choice.rs
+++ b/crates/pinhaven-lab/src/measure/choice.rs
@@ -1,8 +1,8 @@
-//! The tail under faults, for each policy.
+//! Tail latency under faults, for each policy.
 
 use super::MeasureSettings;
+use super::median_with_range;
 use super::publish;
-use super::with_spread;
 use crate::lab::Lab;
 use crate::lab::LabError;
 use crate::plan::LabPlan;
@@ -17,57 +17,55 @@
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// Entries, as many as leave the machine room for callers and targets.
+/// Number of entries; leaves processor time of the machine for callers and targets.
 pub(super) const ENTRIES: usize = 6;
-/// Mean time of a request, in milliseconds.
+/// Mean duration of a request at a target, in milliseconds.
 pub(super) const MEAN_MS: f64 = 20.0;
-/// Time at the start of a run whose requests are not counted, in milliseconds.
+/// Time at the start of a run during which requests are not counted, in milliseconds.
 const WARM_UP_MS: u64 = 1_500;
-/// Share of requests that may not be repeated, in percent.
+/// Share of once-only requests, in percent.
 const ONCE_PERCENT: u8 = 20;
-/// How often the moving slowness moves, in milliseconds.
-const MOVE_MS: u64 = 200;
-/// How much slower a slow target is.
+/// Time for which each target is slow in [`Fault::MovingSlow`], in milliseconds.
+const SLOW_TARGET_INTERVAL_MS: u64 = 200;
+/// Factor by which requests take longer at a slow target.
 const SLOW_FACTOR: f64 = 10.0;
 
-/// What goes wrong during a run.
+/// Fault that is injected during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Trouble {
+pub(super) enum Fault {
     Nothing,
     OneSlow,
     MovingSlow,
     FailingFast,
     Draining,
-    DomainGone,
+    DomainFailing,
 }
 
+/// Load and fault of a measurement, with the name in the table.
 pub(super) struct Scenario {
     pub(super) name: &'static str,
     load: f64,
-    trouble: Trouble,
+    fault: Fault,
 }
 
 const SCENARIOS: [Scenario; 10] = [
-    scenario("steady 50%", 0.5, Trouble::Nothing),
-    scenario("steady 70%", 0.7, Trouble::Nothing),
-    scenario("steady 90%", 0.9, Trouble::Nothing),
-    scenario("one slow 70%", 0.7, Trouble::OneSlow),
-    scenario("moving slow 50%", 0.5, Trouble::MovingSlow),
-    scenario("moving slow 70%", 0.7, Trouble::MovingSlow),
-    scenario("moving slow 90%", 0.9, Trouble::MovingSlow),
-    scenario("failing fast 70%", 0.7, Trouble::FailingFast),
-    scenario("third draining 50%", 0.5, Trouble::Draining),
-    scenario("domain gone 50%", 0.5, Trouble::DomainGone),
+    scenario("steady 50%", 0.5, Fault::Nothing),
+    scenario("steady 70%", 0.7, Fault::Nothing),
+    scenario("steady 90%", 0.9, Fault::Nothing),
+    scenario("one slow 70%", 0.7, Fault::OneSlow),
+    scenario("moving slow 50%", 0.5, Fault::MovingSlow),
+    scenario("moving slow 70%", 0.7, Fault::MovingSlow),
+    scenario("moving slow 90%", 0.9, Fault::MovingSlow),
+    scenario("failing fast 70%", 0.7, Fault::FailingFast),
+    scenario("third draining 50%", 0.5, Fault::Draining),
+    scenario("domain gone 50%", 0.5, Fault::DomainFailing),
 ];
 
-pub(super) const fn scenario(name: &'static str, load: f64, trouble: Trouble) -> Scenario {
-    Scenario {
-        name,
-        load,
-        trouble,
-    }
+pub(super) const fn scenario(name: &'static str, load: f64, fault: Fault) -> Scenario {
+    Scenario { name, load, fault }
 }
 
+/// Settings of a policy under measurement, with the name in the table.
 struct PolicyCase {
     name: &'static str,
     policy: &'static str,
@@ -86,7 +84,7 @@
 ];
 
 impl PolicyCase {
-    /// The fields of the service that make up the policy.
+    /// Fields of the service in the bundle that set the policy.
     fn fields(&self) -> Value {
         json!({
             "policy": self.policy,
@@ -110,7 +108,7 @@
     }
 }
 
-/// A deployment's size.
+/// Service of a deployment, with the number of slots of each target.
 pub(super) struct Size {
     pub(super) name: &'static str,
     pub(super) slots: usize,
@@ -127,12 +125,12 @@
     },
 ];
 
-/// Targets of the service.
+/// Number of targets of the service.
 pub(super) const TARGETS: u64 = 30;
 
-/// The figures of one case over its runs.
+/// Results of all runs of one case.
 #[derive(Default)]
-pub(super) struct Figures {
+pub(super) struct Samples {
     p50: Vec<f64>,
     pub(super) p99: Vec<f64>,
     pub(super) p999: Vec<f64>,
@@ -158,16 +156,16 @@
     for scenario in &SCENARIOS {
         for case in &POLICIES {
             let name = format!("{} {}: {}", size.name, scenario.name, case.name);
-            if !settings.wants(&name) {
+            if !settings.includes_case(&name) {
                 continue;
             }
-            let mut figures = Figures::default();
+            let mut samples = Samples::default();
             for seed in 1..=settings.runs {
                 prepare(&mut lab, &case.fields()).await?;
-                one_run(&lab, settings, size, scenario, seed, &mut figures).await;
+                measure_run(&lab, settings, size, scenario, seed, &mut samples).await;
             }
-            eprintln!("{name}: 99.9th {}", with_spread(&figures.p999));
-            rows.push(row(size, scenario, case, &figures));
+            eprintln!("{name}: 99.9th {}", median_with_range(&samples.p999));
+            rows.push(row(size, scenario, case, &samples));
         }
     }
     publish(
@@ -191,7 +189,7 @@
     )
 }
 
-/// Puts a policy in force and all targets right again.
+/// Clears the faults of all targets and puts fields of the service in force.
 pub(super) async fn prepare(lab: &mut Lab, fields: &Value) -> Result<(), LabError> {
     for target in lab.targets(0) {
         lab.set_target_faults(*target, &TargetFaults::default())
@@ -199,7 +197,7 @@
     }
     let mut bundle = lab.bundle();
     let targets = bundle["services"][0]["targets"].take();
-    // Targets that drained in the run before come back only by being listed anew.
+    // Targets that drained during the previous run return only after removal from the list and a new listing.
     bundle["services"][0]["targets"] = Value::Array(
         targets
             .as_array()
@@ -227,13 +225,13 @@
     target
 }
 
-pub(super) async fn one_run(
+pub(super) async fn measure_run(
     lab: &Lab,
     settings: &MeasureSettings,
     size: &Size,
     scenario: &Scenario,
     seed: u64,
-    figures: &mut Figures,
+    samples: &mut Samples,
 ) {
     let capacity_per_s = TARGETS as f64 * size.slots as f64 * 1_000.0 / MEAN_MS;
     let seeds = lab.caller_addresses().await;
@@ -243,16 +241,16 @@
     caller.warm_up_ms = WARM_UP_MS;
     caller.once_percent = ONCE_PERCENT;
     caller.seed = seed;
-    let before = totals(lab).await;
+    let before = read_totals(lab).await;
     let caller = spawn(Caller::new(caller).run());
     sleep_ms(WARM_UP_MS / 2).await;
-    make_trouble(lab, scenario.trouble, run_ms - WARM_UP_MS / 2).await;
+    inject_fault(lab, scenario.fault, run_ms - WARM_UP_MS / 2).await;
     let report = caller.await;
-    let after = totals(lab).await;
-    figures.add(&report, &before, &after, run_ms);
+    let after = read_totals(lab).await;
+    samples.add(&report, &before, &after, run_ms);
 }
 
-async fn make_trouble(lab: &Lab, trouble: Trouble, time_ms: u64) {
+async fn inject_fault(lab: &Lab, fault: Fault, time_ms: u64) {
     let targets = lab.targets(0);
     let set = async |targets: &[SocketAddr], faults: TargetFaults| {
         for target in targets {
@@ -271,27 +269,27 @@
         draining: true,
         ..TargetFaults::default()
     };
-    match trouble {
-        Trouble::Nothing => {}
-        Trouble::OneSlow => set(&targets[..1], slow).await,
-        Trouble::FailingFast => set(&targets[..1], failing).await,
-        Trouble::Draining => set(&targets[..targets.len() / 3], draining).await,
-        Trouble::DomainGone => {
-            let gone: Vec<SocketAddr> = targets.iter().copied().step_by(3).collect();
-            set(&gone, failing).await;
+    match fault {
+        Fault::Nothing => {}
+        Fault::OneSlow => set(&targets[..1], slow).await,
+        Fault::FailingFast => set(&targets[..1], failing).await,
+        Fault::Draining => set(&targets[..targets.len() / 3], draining).await,
+        Fault::DomainFailing => {
+            let domain: Vec<SocketAddr> = targets.iter().copied().step_by(3).collect();
+            set(&domain, failing).await;
         }
-        Trouble::MovingSlow => {
-            for step in 0..time_ms / MOVE_MS {
+        Fault::MovingSlow => {
+            for step in 0..time_ms / SLOW_TARGET_INTERVAL_MS {
                 let slowed = &targets[step as usize * 7 % targets.len()..][..1];
                 set(slowed, slow.clone()).await;
-                sleep_ms(MOVE_MS).await;
+                sleep_ms(SLOW_TARGET_INTERVAL_MS).await;
                 set(slowed, TargetFaults::default()).await;
             }
         }
     }
 }
 
-/// Counters of all entries together.
+/// Sums of the counters of all entries.
 struct Totals {
     requests: f64,
     added_attempts: f64,
@@ -299,7 +297,7 @@
     connections: f64,
 }
 
-async fn totals(lab: &Lab) -> Totals {
+async fn read_totals(lab: &Lab) -> Totals {
     let statuses = lab.statuses().await;
     let sum = |name: &str| -> f64 {
         let counts = statuses.iter().filter_map(|s| s.counters.get(name));
@@ -322,7 +320,7 @@
     }
 }
 
-impl Figures {
+impl Samples {
     fn add(&mut self, report: &CallerReport, before: &Totals, after: &Totals, run_ms: u64) {
         let all = &report.repeatable;
         self.p50.push(all.p50_ms);
@@ -344,23 +342,23 @@
     }
 }
 
-fn row(size: &Size, scenario: &Scenario, case: &PolicyCase, figures: &Figures) -> Vec<String> {
+fn row(size: &Size, scenario: &Scenario, case: &PolicyCase, samples: &Samples) -> Vec<String> {
     let mut cells = vec![
         size.name.to_owned(),
         scenario.name.to_owned(),
         case.name.to_owned(),
     ];
     let all = [
-        &figures.p50,
-        &figures.p99,
-        &figures.p999,
-        &figures.once_p99,
-        &figures.once_p999,
-        &figures.in_time,
-        &figures.added_attempts,
-        &figures.probes,
-        &figures.connections,
+        &samples.p50,
+        &samples.p99,
+        &samples.p999,
+        &samples.once_p99,
+        &samples.once_p999,
+        &samples.in_time,
+        &samples.added_attempts,
+        &samples.probes,
+        &samples.connections,
     ];
-    cells.extend(all.map(|figures| with_spread(figures)));
+    cells.extend(all.map(|samples| median_with_range(samples)));
     cells
 }
--- a/crates/pinhaven-lab/src/measure/mod.rs
+++ b/crates/pinhaven-lab/src/measure/mod.rs
@@ -1,7 +1,7 @@
 //! Measurements with real processes on this machine.
 //!
-//! Each part prints a table and writes its rows, and a plot where one helps, to a folder that is not
-//! committed. `docs/MEASUREMENTS.md` keeps the last ones with revision and machine.
+//! Each part prints a table and writes the rows, and a plot for some parts, to a folder that is not committed.
+//! `docs/MEASUREMENTS.md` holds the latest results with their revision and machine.
 
 mod added;
 mod budget;
@@ -21,28 +21,28 @@
 use std::path::Path;
 use std::path::PathBuf;
 
-/// A part of the measurements.
+/// Part of the measurements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Part {
-    /// The tail under faults, for each policy.
+    /// Tail latency under faults, for each policy.
     Choice,
-    /// Goodput at and past capacity.
+    /// Goodput below, at and above capacity.
     Overload,
-    /// The tail against the budget of measuring.
+    /// Tail latency against the measuring budget.
     Budget,
-    /// Time of one pick.
+    /// Time to choose a target.
     Pick,
-    /// Time that an entry adds to a call.
+    /// Latency that an entry adds to a request.
     Added,
-    /// Memory and processor time of an idle entry, and its control traffic.
+    /// Memory, processor time and control traffic of an idle entry.
     Idle,
-    /// Both ways to dispatch once-only requests.
+    /// Once-only requests, dispatched by a home and by a claim.
     Once,
-    /// Time until a version is in force everywhere.
+    /// Time until a version is in force at all entries.
     Spread,
-    /// What the record of decisions costs a request.
+    /// Cost of the record of decisions per request.
     Record,
-    /// Slopes for the capacity page.
+    /// Growth of resource use, for the capacity page.
     Slopes,
 }
 
@@ -61,34 +61,35 @@
     ];
 }
 
-/// How measurements are made.
+/// Settings of the measurements.
 #[derive(Debug, Clone)]
 pub struct MeasureSettings {
-    /// Runs of each case, each with another seed.
+    /// Number of runs of each case, each with its own seed.
     pub runs: u64,
-    /// Time of each run, in milliseconds.
+    /// Length of each run, in milliseconds.
     pub run_ms: u64,
-    /// Only cases whose names contain one of these, or end with one that ends in `$`; all if empty.
+    /// Runs only cases whose names contain one of these texts, or end with a text that is followed by `$`. Empty
+    /// runs all cases.
     pub only: Vec<String>,
     /// Folder for the results.
     pub folder: PathBuf,
 }
 
 impl MeasureSettings {
-    fn wants(&self, name: &str) -> bool {
-        let fits = |only: &String| match only.strip_suffix('$') {
+    fn includes_case(&self, name: &str) -> bool {
+        let matches = |only: &String| match only.strip_suffix('$') {
             Some(end) => name.ends_with(end),
             None => name.contains(only.as_str()),
         };
-        self.only.is_empty() || self.only.iter().any(fits)
+        self.only.is_empty() || self.only.iter().any(matches)
     }
 }
 
-/// Makes the measurements of one part, or of all.
+/// Runs the measurements of one part, or of all parts.
 ///
 /// # Errors
 ///
-/// [`LabError`] when a deployment can't be started or a result can't be written.
+/// [`LabError`] if a deployment can't be started or changed, or if a result can't be written.
 pub async fn run(part: Option<Part>, settings: &MeasureSettings) -> Result<(), LabError> {
     std::fs::create_dir_all(&settings.folder).map_err(LabError::new)?;
     for part in part.map_or(Part::ALL.to_vec(), |part| vec![part]) {
@@ -109,7 +110,7 @@
     Ok(())
 }
 
-/// Prints a table and writes it as CSV.
+/// Prints a table and writes the table as a CSV file.
 fn publish(
     folder: &Path,
     name: &str,
@@ -126,16 +127,16 @@
     std::fs::write(folder.join(format!("{name}.csv")), text).map_err(LabError::new)
 }
 
-/// The middle one of some figures.
+/// Median of some figures; the upper one of the two middle figures if their number is even.
 fn median(figures: &[f64]) -> f64 {
     let mut sorted = figures.to_vec();
     sorted.sort_by(f64::total_cmp);
     sorted.get(sorted.len() / 2).copied().unwrap_or_default()
 }
 
-/// The median with the least and the most, as text.
-fn with_spread(figures: &[f64]) -> String {
-    let least = figures.iter().copied().fold(f64::INFINITY, f64::min);
-    let most = figures.iter().copied().fold(0.0, f64::max);
-    format!("{:.1} ({least:.1}..{most:.1})", median(figures))
+/// Median with minimum and maximum, as text.
+fn median_with_range(figures: &[f64]) -> String {
+    let min = figures.iter().copied().fold(f64::INFINITY, f64::min);
+    let max = figures.iter().copied().fold(0.0, f64::max);
+    format!("{:.1} ({min:.1}..{max:.1})", median(figures))
 }
--- a/crates/pinhaven-lab/src/measure/once.rs
+++ b/crates/pinhaven-lab/src/measure/once.rs
@@ -1,4 +1,4 @@
-//! Both ways to dispatch once-only requests: with a home, and by a claim at the platform.
+//! Once-only requests, dispatched in both ways: by their home entry, and by a claim in the platform's table.
 
 use super::MeasureSettings;
 use super::publish;
@@ -11,25 +11,25 @@
 use pinhaven_stand_in::platform::PlatformFaults;
 use serde_json::json;
 
-/// Entries.
+/// Number of entries.
 const ENTRIES: usize = 3;
-/// Mean time of a request, in milliseconds.
+/// Mean duration of a request at a target, in milliseconds.
 const MEAN_MS: f64 = 5.0;
-/// Requests a second.
+/// Requests per second.
 const RATES_PER_S: [f64; 2] = [50.0, 1_000.0];
-/// Claims that all entries together write a second at the most; the platform takes several hundred.
-const CLAIMS_PER_S: u32 = 300;
-/// Time that the platform takes for an answer, in milliseconds: well, and slow.
-const PLATFORM_MS: [u64; 2] = [5, 100];
+/// Maximum number of claims per second that all entries together write; the platform accepts several hundred.
+const CLAIMS_PER_S_MAX: u32 = 300;
+/// Delays of the platform's answers, in milliseconds: in normal operation, and slow.
+const PLATFORM_DELAYS_MS: [u64; 2] = [5, 100];
 
 pub(super) async fn run(settings: &MeasureSettings) -> Result<(), LabError> {
     let mut service = ServicePlan::new("booking", 12, 6, MEAN_MS);
     service.sigma = 0.0;
-    let claims = json!({"claim_writes_per_second": CLAIMS_PER_S / ENTRIES as u32});
+    let claims = json!({"claim_writes_per_second": CLAIMS_PER_S_MAX / ENTRIES as u32});
     let plan = LabPlan::new(ENTRIES, vec![service]).with_settings(claims);
     let lab = Lab::start(plan).await?;
     let mut rows = Vec::new();
-    let well = PLATFORM_MS.map(|delay_ms| {
+    let answering = PLATFORM_DELAYS_MS.map(|delay_ms| {
         let faults = PlatformFaults {
             delay_ms,
             ..PlatformFaults::default()
@@ -40,12 +40,12 @@
         table_down: true,
         ..PlatformFaults::default()
     };
-    let states = well.into_iter().chain([("down".to_owned(), down)]);
+    let states = answering.into_iter().chain([("down".to_owned(), down)]);
     for (state, faults) in states {
         lab.set_platform_faults(&faults).await;
         for names_home in [true, false] {
             for rate in RATES_PER_S {
-                rows.push(one_case(&lab, settings, &state, names_home, rate).await);
+                rows.push(run_case(&lab, settings, &state, names_home, rate).await);
             }
         }
         lab.set_platform_faults(&PlatformFaults::default()).await;
@@ -66,7 +66,7 @@
     )
 }
 
-async fn one_case(
+async fn run_case(
     lab: &Lab,
     settings: &MeasureSettings,
     state: &str,
--- a/crates/pinhaven-lab/src/measure/pick.rs
+++ b/crates/pinhaven-lab/src/measure/pick.rs
@@ -1,4 +1,4 @@
-//! Time of one pick, at few and at many targets.
+//! Time to choose a target, for few and many targets.
 
 use super::MeasureSettings;
 use super::median;
@@ -16,7 +16,7 @@
 
 /// Numbers of targets.
 const SIZES: [u64; 4] = [30, 300, 3_000, 15_000];
-/// Picks of one run.
+/// Number of choices per run.
 const PICKS: u64 = 200_000;
 
 pub(super) fn run(settings: &MeasureSettings) -> Result<(), LabError> {
@@ -27,7 +27,7 @@
                 continue;
             }
             let runs: Vec<f64> = (0..settings.runs.max(5))
-                .map(|seed| time_of_pick_ns(policy, size, seed))
+                .map(|seed| pick_time_ns(policy, size, seed))
                 .collect();
             rows.push(vec![
                 policy.to_owned(),
@@ -40,13 +40,14 @@
     publish(&settings.folder, "pick", &heads, &rows)
 }
 
-/// Time from an arrival to its first attempt, the attempt's bookkeeping included.
-fn time_of_pick_ns(policy: &str, targets: u64, seed: u64) -> f64 {
+/// Mean time from the arrival of a request to the first attempt, with the bookkeeping of the attempt, in
+/// nanoseconds.
+fn pick_time_ns(policy: &str, targets: u64, seed: u64) -> f64 {
     let service = service(policy, targets);
     let now = Microseconds::from_ms(1_000);
     let state = Arc::new(ServiceState::new(&service, None, now));
     let mut random = fastrand::Rng::with_seed(seed);
-    let began = Instant::now();
+    let started_at = Instant::now();
     for number in 0..PICKS {
         let now = Microseconds::new(1_000_000 + number);
         let facts = RequestFacts::new(true, now.plus(Microseconds::from_ms(500)));
@@ -54,7 +55,7 @@
         let step = request.handle(&state, now, &mut random, Event::Arrived);
         std::hint::black_box(step);
     }
-    began.elapsed().as_nanos() as f64 / PICKS as f64
+    started_at.elapsed().as_nanos() as f64 / PICKS as f64
 }
 
 fn service(policy: &str, targets: u64) -> Service {
@@ -67,5 +68,6 @@
     let service = json!({
         "name": "quote", "hosts": ["quote"], "slots": 6, "policy": policy, "targets": targets,
     });
-    serde_json::from_value(service).unwrap_or_else(|error| unreachable!("a constant: {error}"))
+    serde_json::from_value(service)
+        .unwrap_or_else(|error| unreachable!("the service above must be valid: {error}"))
 }
--- a/crates/pinhaven-lab/src/measure/plot.rs
+++ b/crates/pinhaven-lab/src/measure/plot.rs
@@ -1,4 +1,4 @@
-//! Plots as SVG files.
+//! Line plots as SVG files.
 
 use crate::lab::LabError;
 use plotters::prelude::*;
@@ -7,13 +7,13 @@
 /// Size of a plot, in pixels.
 const SIZE: (u32, u32) = (800, 480);
 
-/// A named line of points.
+/// A line of a plot with its name in the legend.
 pub(super) struct Line {
     pub(super) name: String,
     pub(super) points: Vec<(f64, f64)>,
 }
 
-/// Draws lines over common axes.
+/// Draws lines over common axes that start at zero.
 pub(super) fn draw(
     file: &Path,
     title: &str,
@@ -21,8 +21,8 @@
     lines: &[Line],
 ) -> Result<(), LabError> {
     let points = || lines.iter().flat_map(|line| &line.points);
-    let x_most = points().map(|point| point.0).fold(0.0, f64::max);
-    let y_most = points().map(|point| point.1).fold(0.0, f64::max);
+    let x_max = points().map(|point| point.0).fold(0.0, f64::max);
+    let y_max = points().map(|point| point.1).fold(0.0, f64::max);
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
     area.fill(&WHITE).map_err(LabError::new)?;
     let mut chart = ChartBuilder::on(&area)
@@ -30,7 +30,7 @@
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..x_most * 1.05, 0.0..y_most * 1.1)
+        .build_cartesian_2d(0.0..x_max * 1.05, 0.0..y_max * 1.1)
         .map_err(LabError::new)?;
     chart
         .configure_mesh()
--- a/crates/pinhaven-lab/src/measure/record.rs
+++ b/crates/pinhaven-lab/src/measure/record.rs
@@ -1,4 +1,4 @@
-//! What the record costs a request: processor time of the thread that serves it, and bytes.
+//! Cost of the record of decisions per request: processor time of the serving thread, and bytes written.
 
 use super::MeasureSettings;
 use super::median;
@@ -14,14 +14,14 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Requests of one run.
+/// Number of requests per run.
 const REQUESTS: u64 = 20_000;
-/// Requests after which the ring is emptied, outside of the time that counts. So many fit into it.
+/// Number of requests after which the ring is emptied, outside the measured time. The ring has room for a batch.
 const BATCH: u64 = 100;
-/// Size of the ring, in bytes; the settings' default.
+/// Size of the ring, in bytes; the default of the settings.
 const RING_BYTES: usize = 256 * 1024;
 
-/// A kind of request, and how many plain ones there are for each that is kept.
+/// Kinds of request, each with the number of plain requests of which one is recorded.
 const CASES: [(&str, u64); 3] = [
     ("plain, one in 100 kept", 100),
     ("plain, all kept", 1),
@@ -33,7 +33,7 @@
     for (name, plain_one_in) in CASES {
         let is_hedged = name == "with a hedge";
         let runs: Vec<(f64, f64)> = (0..settings.runs.max(5))
-            .map(|_| cost(is_hedged, plain_one_in))
+            .map(|_| measure_cost(is_hedged, plain_one_in))
             .collect();
         let times: Vec<f64> = runs.iter().map(|(us, _)| *us).collect();
         let bytes: Vec<f64> = runs.iter().map(|(_, bytes)| *bytes).collect();
@@ -47,18 +47,18 @@
     publish(&settings.folder, "record", &heads, &rows)
 }
 
-/// Microseconds and bytes a request.
-fn cost(is_hedged: bool, plain_one_in: u64) -> (f64, f64) {
+/// Mean cost of a request, in microseconds and bytes.
+fn measure_cost(is_hedged: bool, plain_one_in: u64) -> (f64, f64) {
     let ring = Arc::new(Ring::new(RING_BYTES));
     let recorder = Recorder::new(Arc::clone(&ring), "vienna-1-entry-1", plain_one_in);
     let mut bytes = 0;
     let mut spent = Duration::ZERO;
     for batch in 0..REQUESTS / BATCH {
-        let began = Instant::now();
+        let started_at = Instant::now();
         for number in 0..BATCH {
             record(&recorder, batch * BATCH + number, is_hedged);
         }
-        spent += began.elapsed();
+        spent += started_at.elapsed();
         bytes += ring.take(Duration::ZERO).map_or(0, |text| text.len());
     }
     let requests = REQUESTS as f64;
@@ -68,12 +68,12 @@
     )
 }
 
-/// Does what an entry does for the record of one request.
+/// Records one request as an entry does.
 fn record(recorder: &Recorder, number: u64, is_hedged: bool) {
     let mut trace = Trace::default();
-    trace.add(1_000, sent(0));
+    trace.add(1_000, sent_event(0));
     if is_hedged {
-        trace.add(61_000, sent(1));
+        trace.add(61_000, sent_event(1));
     }
     trace.add(
         90_000,
@@ -101,7 +101,7 @@
     recorder.record_trace(trace, 90_020, importance, &id, &facts);
 }
 
-fn sent(attempt: u32) -> TraceEvent {
+fn sent_event(attempt: u32) -> TraceEvent {
     TraceEvent::Sent {
         attempt,
         chosen: Chosen {
--- a/crates/pinhaven-lab/src/measure/slopes.rs
+++ b/crates/pinhaven-lab/src/measure/slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes for the capacity page: what grows with targets, with changes and with once-only records.
+//! Growth of resource use with the number of targets, changes and once-only records, for the capacity page.
 
 use super::MeasureSettings;
 use super::publish;
@@ -13,17 +13,17 @@
 use serde_json::json;
 use std::time::Instant;
 
-/// Services of the bundle, each with eight targets.
+/// Numbers of services in the bundle.
 const SERVICES: [usize; 4] = [19, 190, 950, 1_900];
-/// Targets of each.
+/// Number of targets of each service.
 const TARGETS_PER_SERVICE: usize = 8;
-/// Changes of one target each.
+/// Number of versions that are rolled out after the first.
 const CHANGES: usize = 5;
-/// Time between two changes, in milliseconds.
+/// Interval between two changes, in milliseconds.
 const CHANGE_EVERY_MS: u64 = 2_500;
-/// Once-only requests a second for the ledger's slope.
+/// Once-only requests per second that fill the ledger.
 const ONCE_RATE_PER_S: f64 = 1_500.0;
-/// Time that memory gets to settle, in milliseconds.
+/// Time for memory use to settle after a version, in milliseconds.
 const SETTLE_MS: u64 = 500;
 
 pub(super) async fn run(settings: &MeasureSettings) -> Result<(), LabError> {
@@ -42,7 +42,7 @@
         lab.roll(&bundle)?;
         lab.wait_until_in_force().await?;
         sleep_ms(SETTLE_MS).await;
-        // Nothing is asked of the entries meanwhile: their status costs more than a change.
+        // The entries' status isn't read during the workload, because a status request costs more than a change.
         let idle = usage_in(&lab, async || sleep_ms(settings.run_ms).await).await;
         let mut bundles = Vec::new();
         for change in 1..=CHANGES {
@@ -52,7 +52,7 @@
         }
         let changed = usage_in(&lab, async || {
             for signed in &bundles {
-                // A roll that is refused shows at the end, as the last version is not in force.
+                // A refused roll is detected at the end, because the last version is then not in force.
                 let _ = lab.roll_signed(signed);
                 sleep_ms(CHANGE_EVERY_MS).await;
             }
@@ -61,7 +61,7 @@
         lab.wait_until_in_force().await?;
         let idle_share = changed.seconds / idle.seconds;
         let changes = CHANGES as f64;
-        // Both entries take each change; what they use when idle is taken off.
+        // Both entries apply each change. Their idle use over the same time is subtracted.
         let cpu_ms = (changed.cpu_s - idle.cpu_s * idle_share) * 1_000.0 / (2.0 * changes);
         let bytes = (changed.peer_bytes - idle.peer_bytes * idle_share) / changes;
         let idle_percent = idle.cpu_s * 100.0 / (2.0 * idle.seconds);
@@ -104,7 +104,7 @@
                 json!({"address": address, "failure_domain": format!("domain-{}", target % 3)})
             })
             .collect();
-        // Each change moves one field of one service.
+        // With each change, another service has the shorter deadline.
         let deadline_ms = if service == change { 900 } else { 1_000 };
         all.push(json!({
             "name": format!("service-{service}"),
@@ -130,11 +130,11 @@
         Caller::new(caller).run().await;
         let statuses = lab.statuses().await;
         let records: usize = statuses.iter().map(|status| status.ledger_records).sum();
-        let grown_mb = lab.entry_memory_mb() - first_mb;
+        let growth_mb = lab.entry_memory_mb() - first_mb;
         rows.push(vec![
             records.to_string(),
-            format!("{grown_mb:.1}"),
-            format!("{:.0}", grown_mb * 1e6 / records.max(1) as f64),
+            format!("{growth_mb:.1}"),
+            format!("{:.0}", growth_mb * 1e6 / records.max(1) as f64),
         ]);
     }
     publish(
@@ -145,19 +145,19 @@
     )
 }
 
-/// What the entries used in a span of time.
+/// Resources that the entries used during a workload.
 struct Usage {
     seconds: f64,
     cpu_s: f64,
     peer_bytes: f64,
 }
 
-async fn usage_in(lab: &Lab, span: impl AsyncFnOnce()) -> Usage {
+async fn usage_in(lab: &Lab, workload: impl AsyncFnOnce()) -> Usage {
     let bytes_before = lab.counter("peer.bytes").await as f64;
     let cpu_before = lab.entries_cpu_s();
-    let began = Instant::now();
-    span().await;
-    let seconds = began.elapsed().as_secs_f64();
+    let started_at = Instant::now();
+    workload().await;
+    let seconds = started_at.elapsed().as_secs_f64();
     let cpu_s = lab.entries_cpu_s() - cpu_before;
     let peer_bytes = lab.counter("peer.bytes").await as f64 - bytes_before;
     Usage {
--- a/crates/pinhaven-lab/src/measure/spread.rs
+++ b/crates/pinhaven-lab/src/measure/spread.rs
@@ -1,8 +1,8 @@
-//! Time until a version is in force everywhere.
+//! Time until a version is in force at all entries.
 
 use super::MeasureSettings;
+use super::median_with_range;
 use super::publish;
-use super::with_spread;
 use crate::lab::Lab;
 use crate::lab::LabError;
 use crate::plan::LabPlan;
@@ -11,13 +11,13 @@
 use serde_json::json;
 use std::time::Instant;
 
-/// Entries, as each of the users has.
+/// Number of entries, as in each of the users' deployments.
 const ENTRIES: usize = 18;
 
 pub(super) async fn run(settings: &MeasureSettings) -> Result<(), LabError> {
     let service = ServicePlan::new("quote", 30, 6, 20.0);
     let plan = LabPlan::new(ENTRIES, vec![service]);
-    // The times that the settings have by default.
+    // The default values of these settings.
     let plan = plan.with_settings(json!({"head_poll_ms": 1_000, "gossip_ms": 1_000}));
     let mut lab = Lab::start(plan).await?;
     let states = [
@@ -45,15 +45,15 @@
             let bundle = lab.bundle();
             lab.roll(&bundle)?;
             lab.set_platform_faults(&faults).await;
-            let began = Instant::now();
+            let started_at = Instant::now();
             lab.wait_until_all_have(lab.version()).await?;
-            times.push(began.elapsed().as_secs_f64() * 1_000.0);
+            times.push(started_at.elapsed().as_secs_f64() * 1_000.0);
         }
         lab.set_platform_faults(&PlatformFaults::default()).await;
         rows.push(vec![
             ENTRIES.to_string(),
             state.to_owned(),
-            with_spread(&times),
+            median_with_range(&times),
         ]);
     }
     let heads = ["entries", "platform", "in force at all after ms"];
