--- a/crates/pinhaven-lab/src/emulate/orders.rs
+++ b/crates/pinhaven-lab/src/emulate/orders.rs
@@ -61,8 +61,7 @@
     pub rests: u64,
     /// Number of rests during which more requests arrived than are allowed.
     pub rests_broken: u64,
-    /// Requests that arrived after the target had told their entry that the target leaves, without those that
-    /// arrived within the grace period.
+    /// Requests that arrived later than the grace period after their entry received the target's order to leave.
     pub arrivals_after_leave: u64,
     active_rests: HashMap<EntryTargetPair, Rest>,
     leaving_since_ms: HashMap<EntryTargetPair, f64>,
