--- a/crates/pinhaven-types/src/digest.rs
+++ b/crates/pinhaven-types/src/digest.rs
@@ -1,4 +1,4 @@
-//! SHA-256 digests, by which immutable objects are named.
+//! SHA-256 digests, which serve as names of immutable objects.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,18 +6,19 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// SHA-256 digest of some bytes.
+/// SHA-256 digest of a byte string.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// The digest of `bytes`.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(sha2::Sha256::digest(bytes).into())
     }
 
-    /// The digest of several parts, each preceded by its length so that parts cannot run together.
+    /// Computes the digest of several parts. Each part is preceded by its length, so that different splits of the
+    /// same bytes have different digests.
     pub fn of_parts(parts: &[&[u8]]) -> Self {
         let mut hasher = sha2::Sha256::new();
         for part in parts {
@@ -27,17 +28,17 @@
         Self(hasher.finalize().into())
     }
 
-    /// The digest with these bytes; `None` when they are not as many as a digest has.
+    /// Creates a digest from its 32 bytes; `None` if `bytes` has another length.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(Self)
     }
 
-    /// Its bytes.
+    /// The 32 bytes of the digest.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// The first eight bytes as a number, where a short hash is enough.
+    /// The first eight bytes as a little-endian number, for uses that need only a short hash.
     pub fn short(self) -> u64 {
         let mut first = [0; 8];
         first.copy_from_slice(&self.0[..8]);
--- a/crates/pinhaven-types/src/incarnation.rs
+++ b/crates/pinhaven-types/src/incarnation.rs
@@ -1,7 +1,7 @@
-//! One run of an entry process.
+//! Id of one run of an entry process.
 //!
-//! A restarted process has a new incarnation, so a promise made by the old one is never kept by the
-//! new one by mistake.
+//! A restarted process has a new incarnation, so that the new process never fulfils by mistake a commitment that
+//! the earlier process made.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -14,26 +14,26 @@
 pub struct Incarnation(u128);
 
 impl Incarnation {
-    /// An incarnation with given bits, for tests.
+    /// Creates an incarnation with the given bits, for tests.
     pub const fn new(bits: u128) -> Self {
         Self(bits)
     }
 
-    /// The bits as bytes, for messages.
+    /// The 16 bytes of the incarnation in little-endian order, for messages.
     pub const fn to_bytes(self) -> [u8; 16] {
         self.0.to_le_bytes()
     }
 
-    /// The incarnation with these bytes.
+    /// Creates an incarnation from the bytes that [`Self::to_bytes`] returns.
     pub const fn from_bytes(bytes: [u8; 16]) -> Self {
         Self(u128::from_le_bytes(bytes))
     }
 
-    /// A new incarnation from the system's random source.
+    /// Creates an incarnation from the random source of the operating system.
     ///
     /// # Panics
     ///
-    /// Panics when the system has no random source, as no process may run without its own id.
+    /// Panics if the operating system has no random source, because a process must not run without a unique id.
     pub fn random() -> Self {
         let mut bytes = [0; 16];
         getrandom::fill(&mut bytes).expect("the system has a random source");
--- a/crates/pinhaven-types/src/lib.rs
+++ b/crates/pinhaven-types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Typed ids, sizes and rates, and the counted promises that every crate shares.
+//! Typed ids, sizes and rates, and the promises (invariants counted at run time) that all crates share.
 //!
-//! An id that is only a string can be handed to the wrong parameter without the compiler noticing.
-//! Each id here is a type of its own, printed by `Display` and read back by `FromStr`.
+//! Each id is a separate type, so that the compiler rejects an id that is passed as the wrong parameter. `Display`
+//! writes an id and `FromStr` parses it.
 
 mod digest;
 mod incarnation;
@@ -36,8 +36,8 @@
 pub use request_fingerprint::RequestFingerprint;
 pub use target_incarnation::TargetIncarnation;
 
-/// Advice that goes with an error.
+/// Advice on how to resolve an error.
 pub trait Help {
-    /// What the reader can do about the error.
+    /// Text that says how the reader can resolve the error.
     fn help(&self) -> &'static str;
 }
--- a/crates/pinhaven-types/src/name.rs
+++ b/crates/pinhaven-types/src/name.rs
@@ -1,4 +1,4 @@
-//! Names that people write: services, failure domains, instances and signers.
+//! Names of services, failure domains, instances, routes and signers, and ids of targets and operations.
 
 use displaydoc::Display as DisplayDoc;
 use serde::Deserialize;
@@ -6,10 +6,10 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// The most characters a name may have.
+/// Maximum length of a name in characters.
 const NAME_LENGTH_MAX: usize = 128;
 
-/// Why a text is not a name.
+/// Reason for which a text is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, DisplayDoc)]
 pub enum ParseNameError {
     /// a name may not be empty
@@ -44,7 +44,7 @@
         pub struct $name(String);
 
         impl $name {
-            /// The name as text.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -91,15 +91,15 @@
     FailureDomain
 }
 name_type! {
-    /// Name of a region, in which failure domains are near each other.
+    /// Name of a region: a group of failure domains that are near each other.
     Region
 }
 name_type! {
-    /// Name that the settings give an entry instance.
+    /// Name of an entry instance, from its settings.
     InstanceId
 }
 name_type! {
-    /// Id of one run of a target; a restarted target has another one.
+    /// Id of one run of a target; a restarted target has another id.
     TargetId
 }
 name_type! {
@@ -107,16 +107,16 @@
     RouteName
 }
 name_type! {
-    /// Name of the person who signs off a bundle.
+    /// Name of the person who signs a bundle.
     SignerName
 }
 name_type! {
-    /// Id of one write, by which its writer knows its own work again.
+    /// Id of one write, by which the writer recognises its own write when it reads it back.
     OperationId
 }
 
 impl OperationId {
-    /// A new random id.
+    /// Creates a random id.
     pub fn random() -> Self {
         Self(crate::Incarnation::random().to_string())
     }
--- a/crates/pinhaven-types/src/promise.rs
+++ b/crates/pinhaven-types/src/promise.rs
@@ -1,32 +1,32 @@
-//! The seven promises, asserted while the program runs.
+//! The seven promises: invariants that are checked while the program runs.
 //!
-//! Each check is counted, so that a promise that is never looked at can be seen. A violation is
-//! counted and logged, and the caller of [`require_promise`] takes the safe way out.
+//! Each check is counted, so that metrics show a promise that is never checked. A violation is counted and logged,
+//! and the caller of [`require_promise`] then takes its safe fallback.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// What must always hold.
+/// An invariant that must always hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Promise {
-    /// Measuring load never costs more than its budget.
+    /// The cost of measuring load never exceeds its budget.
     MeasuringBudget,
-    /// A caller gets the whole answer to its own request.
+    /// A caller receives the complete answer to its own request.
     WholeOwnAnswer,
-    /// A request that was said not to have run did not run.
+    /// A request that was reported as not executed was not executed.
     NotRun,
-    /// A request that may not be repeated runs at most once.
+    /// A request that is not repeatable is executed at most once.
     AtMostOnce,
-    /// A leaving target gets no new work after a few seconds.
+    /// A leaving target receives no new work after a few seconds.
     LeavingTarget,
-    /// A planned stop cuts nothing in flight.
+    /// A planned stop aborts no request in flight.
     PlannedStop,
-    /// A bundle in force is never replaced by an older one.
+    /// A bundle in force is never replaced by an older bundle.
     NeverReverts,
 }
 
-/// How many promises there are.
+/// Number of promises.
 const PROMISE_COUNT: usize = 7;
 
 impl Promise {
@@ -41,7 +41,7 @@
         Self::NeverReverts,
     ];
 
-    /// Name in logs and metrics.
+    /// Name of the promise in logs and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Self::MeasuringBudget => "measuring_budget",
@@ -58,7 +58,7 @@
 static CHECKS: [AtomicU64; PROMISE_COUNT] = [const { AtomicU64::new(0) }; PROMISE_COUNT];
 static VIOLATIONS: [AtomicU64; PROMISE_COUNT] = [const { AtomicU64::new(0) }; PROMISE_COUNT];
 
-/// Counts a check of a promise, and logs it when it does not hold. Returns `holds`.
+/// Counts a check of `promise` and returns `holds`. If `holds` is false, also counts a violation and logs `detail`.
 pub fn require_promise(promise: Promise, holds: bool, detail: impl FnOnce() -> String) -> bool {
     CHECKS[promise as usize].fetch_add(1, Ordering::Relaxed);
     if !holds {
@@ -68,17 +68,17 @@
     holds
 }
 
-/// How often a promise was checked in this process.
+/// Number of checks of a promise in this process.
 pub fn promise_check_count(promise: Promise) -> u64 {
     CHECKS[promise as usize].load(Ordering::Relaxed)
 }
 
-/// How often a promise did not hold in this process.
+/// Number of violations of a promise in this process.
 pub fn promise_violation_count(promise: Promise) -> u64 {
     VIOLATIONS[promise as usize].load(Ordering::Relaxed)
 }
 
-/// How often any promise did not hold in this process.
+/// Number of violations of all promises in this process.
 pub fn promise_violations() -> u64 {
     Promise::ALL.into_iter().map(promise_violation_count).sum()
 }
--- a/crates/pinhaven-types/src/quantity.rs
+++ b/crates/pinhaven-types/src/quantity.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and versions.
+//! Versions, times, percentages, rates and addresses.
 
 use displaydoc::Display as DisplayDoc;
 use serde::Deserialize;
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// Why a text is not a quantity.
+/// Reason for which a text is not a valid quantity.
 #[derive(Debug, Clone, PartialEq, Eq, DisplayDoc)]
 pub enum ParseQuantityError {
     /// {0:?} is not a percentage from 0 to 100, such as "0.5%"
@@ -34,10 +34,10 @@
 pub struct BundleVersion(u64);
 
 impl BundleVersion {
-    /// The state before the first bundle.
+    /// Placeholder for the state before the first bundle.
     pub const NONE: Self = Self(0);
 
-    /// The version with this number.
+    /// Creates a version from its number.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
@@ -47,7 +47,7 @@
         self.0
     }
 
-    /// The version that follows.
+    /// The next version.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -78,20 +78,20 @@
 pub struct Microseconds(u64);
 
 impl Microseconds {
-    /// No time at all.
+    /// Zero microseconds.
     pub const ZERO: Self = Self(0);
 
-    /// A number of microseconds.
+    /// Creates a time from a number of microseconds.
     pub const fn new(count: u64) -> Self {
         Self(count)
     }
 
-    /// A number of milliseconds.
+    /// Creates a time from a number of milliseconds.
     pub const fn from_ms(count: u64) -> Self {
         Self(count * 1_000)
     }
 
-    /// The count of microseconds.
+    /// The number of microseconds.
     pub const fn count(self) -> u64 {
         self.0
     }
@@ -101,12 +101,12 @@
         self.0 as f64 / 1_000.0
     }
 
-    /// What is left after taking `other` away, never below zero.
+    /// Subtracts `other`; the result is never below zero.
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// The sum of both.
+    /// Adds `other`; the result is at most the largest representable time.
     pub const fn plus(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
@@ -124,7 +124,7 @@
 pub struct Percent(f64);
 
 impl Percent {
-    /// A share that is known to be in range.
+    /// Creates a share, clamped to 0 to 100 percent.
     pub const fn new(percent: f64) -> Self {
         Self(percent.clamp(0.0, 100.0))
     }
@@ -169,7 +169,7 @@
     }
 }
 
-/// A number of requests a second.
+/// A rate in requests a second.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -177,10 +177,10 @@
 pub struct RequestRate(u32);
 
 impl RequestRate {
-    /// No requests at all.
+    /// Zero requests a second.
     pub const ZERO: Self = Self(0);
 
-    /// So many requests a second.
+    /// Creates a rate from a number of requests a second.
     pub const fn new(per_second: u32) -> Self {
         Self(per_second)
     }
@@ -220,7 +220,7 @@
 pub struct TargetAddress(SocketAddr);
 
 impl TargetAddress {
-    /// The target at a socket address.
+    /// Creates a target address from a socket address.
     pub const fn new(address: SocketAddr) -> Self {
         Self(address)
     }
--- a/crates/pinhaven-types/src/request_fingerprint.rs
+++ b/crates/pinhaven-types/src/request_fingerprint.rs
@@ -1,6 +1,6 @@
-//! Fingerprint by which repeated requests are recognised, in eight bytes.
+//! Eight-byte fingerprint by which repeated requests are recognised.
 //!
-//! A caller that retries sends the same request with another id, mostly to another entry. Entries exchange only a hash
+//! A caller that retries sends the same request with another id, usually to another entry. Entries exchange only a hash
 //! of such a request, so that neither paths nor bodies leave the entry that received them.
 
 use crate::Digest;
--- a/crates/pinhaven-types/src/target_incarnation.rs
+++ b/crates/pinhaven-types/src/target_incarnation.rs
@@ -1,8 +1,8 @@
-//! One run of a target.
+//! Id of one run of a target.
 //!
-//! A target may start again under its id. It then holds and knows nothing of before, and what was
-//! learned of an earlier run says nothing of a later one. The time of its start, by its own clock, tells
-//! the runs of one id apart and which is the later; it is compared with no other clock.
+//! A target may restart under the same id. The new run has no state of the earlier run, and statistics about an
+//! earlier run do not apply to a later run. The start time, by the clock of the target, distinguishes and orders the
+//! runs of one target id; it is never compared with another clock.
 
 use crate::ParseQuantityError;
 use serde::Deserialize;
@@ -10,18 +10,18 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// One run of a target, by the Unix time of its start in milliseconds.
+/// One run of a target, identified by the Unix time of its start in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TargetIncarnation(u64);
 
 impl TargetIncarnation {
-    /// The run that started at a Unix time in milliseconds, by the target's clock.
+    /// Creates the incarnation of a run that started at this Unix time in milliseconds, by the clock of the target.
     pub const fn new(started_unix_ms: u64) -> Self {
         Self(started_unix_ms)
     }
 
-    /// When it started.
+    /// Unix time of the start of the run, in milliseconds by the clock of the target.
     pub const fn started_unix_ms(self) -> u64 {
         self.0
     }
--- a/crates/pinhaven-types/tests/types.rs
+++ b/crates/pinhaven-types/tests/types.rs
@@ -1,4 +1,4 @@
-//! Names, quantities and promises.
+//! Parsing and formatting of names, quantities and ids, and counting of promise checks.
 
 use pinhaven_types::Digest;
 use pinhaven_types::Incarnation;
