--- a/crates/pinhaven-document/src/lib.rs
+++ b/crates/pinhaven-document/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reads JSON with comments and says where each fault is.
+//! Parses JSON with comments and reports the line of each fault.
 //!
-//! A [`Document`] keeps the text next to its syntax tree, so that a check made on decoded values can
-//! still name the line that a field stands on.
+//! A [`Document`] retains its source text, so that a check of decoded values can report the line of a field: the text
+//! is parsed again into a syntax tree that has the offset of each field.
 
 use displaydoc::Display as DisplayDoc;
 use jsonc_parser::ast;
@@ -9,32 +9,32 @@
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// A fault in a document: where it is, what is wrong and what to write instead.
+/// A fault in a document, with its location, a description and a correction.
 #[derive(Debug, Clone, PartialEq, Eq, DisplayDoc)]
 #[displaydoc("{file}:{line}: {field}: {message}; {help}")]
 pub struct Fault {
-    /// The file as it was named by the user.
+    /// File name as the user gave it.
     pub file: String,
-    /// The line, counted from 1.
+    /// Line number, counted from 1.
     pub line: usize,
     /// Path of the field, such as `services[0].targets[2].address`.
     pub field: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub message: String,
-    /// What to write instead.
+    /// Correction: what to write instead.
     pub help: String,
 }
 
 impl std::error::Error for Fault {}
 
-/// A text in JSON with comments.
+/// A text in the format JSON with comments.
 pub struct Document {
     file: String,
     text: String,
 }
 
 impl Document {
-    /// A document from text that is already at hand; `file` is its name in faults.
+    /// Creates a document from `text`; faults report `file` as its name.
     pub fn new(file: impl Into<String>, text: impl Into<String>) -> Self {
         Self {
             file: file.into(),
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// A fault at line 1 when the file cannot be read.
+    /// Returns a fault at line 1 if the file cannot be read.
     pub fn read(path: &Path) -> Result<Self, Fault> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -61,11 +61,11 @@
         }
     }
 
-    /// Decodes the document.
+    /// Decodes the document into a value of type `T`.
     ///
     /// # Errors
     ///
-    /// The first fault in syntax, in a field's name or in a field's type.
+    /// Returns the first fault in the syntax, in the name of a field or in the type of a field.
     pub fn decode<T: DeserializeOwned>(&self) -> Result<T, Fault> {
         let value = self.value()?;
         serde_path_to_error::deserialize(value).map_err(|error| {
@@ -78,7 +78,7 @@
         })
     }
 
-    /// A fault at the field with this path.
+    /// Creates a fault at the field with this path.
     pub fn fault(&self, field: &str, message: impl Into<String>, help: impl Into<String>) -> Fault {
         Fault {
             file: self.file.clone(),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The line of a field, or of the closest ancestor that exists.
+    /// Line number of a field, or of its closest ancestor that exists.
     fn line_of(&self, field: &str) -> usize {
         let parsed =
             jsonc_parser::parse_to_ast(&self.text, &Default::default(), &Default::default());
@@ -116,8 +116,8 @@
         };
         let mut offset = root.start();
         let mut node = &root;
-        for step in steps_of(field) {
-            let Some((next_offset, next)) = descend(node, step) else {
+        for segment in path_segments(field) {
+            let Some((next_offset, next)) = descend(node, segment) else {
                 break;
             };
             offset = next_offset;
@@ -127,25 +127,28 @@
     }
 }
 
-/// Splits `services[0].name` into `services`, `0` and `name`.
-fn steps_of(field: &str) -> impl Iterator<Item = &str> {
-    field.split(['.', '[', ']']).filter(|step| !step.is_empty())
+/// Splits a field path: `services[0].name` into `services`, `0` and `name`.
+fn path_segments(field: &str) -> impl Iterator<Item = &str> {
+    field
+        .split(['.', '[', ']'])
+        .filter(|segment| !segment.is_empty())
 }
 
+/// Start offset and value of the property or array element that `segment` names.
 fn descend<'tree, 'text>(
     node: &'tree ast::Value<'text>,
-    step: &str,
+    segment: &str,
 ) -> Option<(usize, &'tree ast::Value<'text>)> {
     match node {
         ast::Value::Object(object) => {
             let property = object
                 .properties
                 .iter()
-                .find(|property| property.name.as_str() == step)?;
+                .find(|property| property.name.as_str() == segment)?;
             Some((property.start(), &property.value))
         }
         ast::Value::Array(array) => {
-            let element = array.elements.get(step.parse::<usize>().ok()?)?;
+            let element = array.elements.get(segment.parse::<usize>().ok()?)?;
             Some((element.start(), element))
         }
         _ => None,
