--- a/crates/pinhaven-settings/src/lib.rs
+++ b/crates/pinhaven-settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! The settings of an entry instance.
 //!
-//! They are read once, at the start, and checked whole: [`read_settings`] returns every fault, and
-//! nothing is started while there is one.
+//! An entry reads its settings once, at its start. [`read_settings`] checks all of them and returns every fault; the
+//! entry starts nothing if there is any fault.
 
 use pinhaven_bundle::TrustedSigner;
 use pinhaven_document::Document;
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The most threads that an entry may be given.
+/// Maximum number of worker threads.
 const WORKER_THREADS_MAX: usize = 64;
 
 /// Settings of one entry instance.
@@ -23,118 +23,118 @@
 pub struct Settings {
     /// Name of the instance.
     pub instance_id: InstanceId,
-    /// Where the instance stands.
+    /// Failure domain in which the instance runs.
     pub failure_domain: FailureDomain,
-    /// The region that this failure domain belongs to, where there are several.
+    /// Region of the failure domain, for deployments with several regions.
     #[serde(default)]
     pub region: Option<Region>,
-    /// What the instance has; callers are steered to those that have most.
+    /// Resources of the instance; callers are steered to the instances with the most resources.
     #[serde(default)]
     pub resources: ResourceSettings,
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub caller_address: SocketAddr,
-    /// Where other entries connect.
+    /// Address at which other entries connect.
     pub peer_address: SocketAddr,
-    /// Where other entries reach this one, if that is another address than the one it listens at.
+    /// Address at which other entries reach this entry, if it differs from the address at which the entry listens.
     #[serde(default)]
     pub advertised_peer_address: Option<SocketAddr>,
-    /// The platform's table service; not used with `discovery`.
+    /// Address of the platform's table service; not used with `discovery`.
     #[serde(default = "no_address")]
     pub table_address: SocketAddr,
-    /// The platform's object store; not used with `discovery`.
+    /// Address of the platform's object store; not used with `discovery`.
     #[serde(default = "no_address")]
     pub object_address: SocketAddr,
-    /// Set when the configuration, the targets and the peers are all found through one store.
+    /// Set if the configuration, the targets and the peers are all discovered through one store.
     #[serde(default)]
     pub discovery: Option<DiscoverySettings>,
-    /// Where metrics are sent as StatsD datagrams; none are sent without it.
+    /// Address to which metrics are sent as StatsD datagrams; without an address no metrics are sent.
     #[serde(default)]
     pub metrics_address: Option<SocketAddr>,
-    /// Persons whose sign-off counts; none with `discovery`, where the store takes only the
-    /// operators' writes.
+    /// Persons whose signatures on bundles are accepted. Empty with `discovery`, where the store accepts writes from
+    /// operators only.
     #[serde(default)]
     pub trusted_signers: Vec<TrustedSigner>,
-    /// Peer addresses of other entries to ask when the platform is down.
+    /// Peer addresses of other entries to contact while the platform is down.
     #[serde(default)]
     pub peer_seeds: Vec<SocketAddr>,
-    /// Threads that serve requests.
+    /// Number of threads that serve requests.
     #[serde(default = "default_worker_threads")]
     pub worker_threads: usize,
-    /// Bodies held in memory at a time, in bytes.
+    /// Maximum total size of the bodies held in memory, in bytes.
     #[serde(default = "default_body_memory_bytes")]
     pub body_memory_bytes: u64,
-    /// Requests in flight at a time.
+    /// Maximum number of requests in flight.
     #[serde(default = "default_requests_most")]
     pub requests_most: u32,
-    /// Records of once-only requests held at a time.
+    /// Maximum number of records of once-only requests held in memory.
     #[serde(default = "default_ledger_records")]
     pub ledger_records: usize,
-    /// How long an epoch of once-only records lasts, in milliseconds.
+    /// Duration of an epoch of once-only records, in milliseconds.
     #[serde(default = "default_ledger_epoch_ms")]
     pub ledger_epoch_ms: u64,
-    /// Claims of once-only requests without a home that this entry writes a second.
+    /// Maximum number of claims that this entry writes a second, for once-only requests without a home.
     #[serde(default = "default_claim_writes_per_second")]
     pub claim_writes_per_second: u32,
     /// Deadline of one call to the platform, in milliseconds.
     #[serde(default = "default_platform_timeout_ms")]
     pub platform_timeout_ms: u64,
-    /// How often the head of the bundle history is looked at, in milliseconds.
+    /// Interval between polls of the head of the bundle history, in milliseconds.
     #[serde(default = "default_head_poll_ms")]
     pub head_poll_ms: u64,
-    /// How often an entry talks to one peer, in milliseconds.
+    /// Interval between exchanges with a peer, in milliseconds.
     #[serde(default = "default_gossip_ms")]
     pub gossip_ms: u64,
-    /// Age of the process up to which requests wait for this entry to know what it needs, in milliseconds.
+    /// Age of the process, in milliseconds, up to which requests wait for the state that this entry needs to serve them.
     #[serde(default = "default_start_wait_ms")]
     pub start_wait_ms: u64,
-    /// How long an idle or half-sent caller connection is kept, in milliseconds.
+    /// Time after which an idle or half-sent caller connection is closed, in milliseconds.
     #[serde(default = "default_caller_idle_ms")]
     pub caller_idle_ms: u64,
-    /// The longest rest that a target may ask for, in milliseconds; a longer one counts as this long.
+    /// Maximum rest that a target may request, in milliseconds; a longer rest is shortened to this time.
     #[serde(default = "default_target_rest_most_ms")]
     pub target_rest_most_ms: u64,
-    /// Whether callers may speak HTTP/2; without it a connection takes less memory.
+    /// Whether callers may use HTTP/2; a connection takes less memory without HTTP/2.
     #[serde(default = "default_caller_http2")]
     pub caller_http2: bool,
-    /// The longest that a planned stop waits for requests in flight, in milliseconds.
+    /// Maximum time that a planned stop waits for requests in flight, in milliseconds.
     #[serde(default = "default_stop_most_ms")]
     pub stop_most_ms: u64,
-    /// How logs are written.
+    /// Format, levels and sampling of logs.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// How an entry finds everything through one store, and what the deployment allows.
+/// Discovery of configuration, targets and peers through one store, and the limits that the deployment sets.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoverySettings {
-    /// The store.
+    /// Address of the store.
     pub store_address: SocketAddr,
-    /// Where readiness is asked for.
+    /// Address that serves readiness checks.
     pub ready_address: SocketAddr,
-    /// Where callers ask which entries to use.
+    /// Address at which callers ask which entries to use.
     pub directory_address: SocketAddr,
-    /// The longest that callers keep an address answer, in milliseconds.
+    /// Maximum time that callers may cache an address answer, in milliseconds.
     pub address_keep_most_ms: u64,
-    /// Probes that all entries together may send to one target, in a second.
+    /// Maximum number of probes a second that all entries together may send to one target.
     pub probes_per_second_most: u32,
-    /// Added attempts that all entries together may make, as a share of a service's requests.
+    /// Maximum number of added attempts of all entries together, as a share of the requests of a service.
     pub added_attempts_share: f64,
-    /// Added attempts on top of that share in each window.
+    /// Number of added attempts allowed in each window beyond `added_attempts_share`.
     pub added_attempts_extra: f64,
-    /// The time between the word to stop and the end of the process, in milliseconds.
+    /// Time between the signal to stop and the end of the process, in milliseconds.
     pub stop_grace_ms: u64,
 }
 
-/// What an instance has.
+/// Resources of an instance.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ResourceSettings {
-    /// Processor cores that the entry may use; parts of one count.
+    /// Number of processor cores that the entry may use, possibly fractional.
     pub processor_cores: f64,
-    /// How many times faster than usual these cores are.
+    /// Speed of these cores relative to a usual core (1.0).
     pub processor_speed: f64,
-    /// What its network link carries, in megabits a second.
+    /// Capacity of the network link, in megabits a second.
     pub link_mbps: f64,
 }
 
@@ -148,18 +148,18 @@
     }
 }
 
-/// How logs are written.
+/// Format, levels and sampling of logs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Text or JSON.
+    /// Format of a log line.
     pub format: LogFormat,
-    /// Level of each part, by its prefix.
+    /// Log level of each part of the program, by prefix of its log target.
     pub levels: BTreeMap<String, String>,
-    /// One in so many of the requests that went as they should is recorded, the same ones at every
-    /// entry; 0 for none. Others are always recorded.
+    /// Sampling of requests without an anomaly: one in this many is recorded, and every entry samples the same
+    /// requests; 0 records none. Requests with an anomaly are always recorded.
     pub plain_one_in: u64,
-    /// Lines that wait to be written, in bytes; beyond that the least important are dropped.
+    /// Maximum size of the lines that wait to be written, in bytes; beyond it the least important lines are dropped.
     pub ring_bytes: usize,
 }
 
@@ -174,22 +174,22 @@
     }
 }
 
-/// Form of a log line.
+/// Format of a log line.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For people.
+    /// Text for people.
     #[default]
     Text,
-    /// For programs, an object a line.
+    /// JSON for programs, one object a line.
     Json,
 }
 
-/// Reads settings and checks them.
+/// Decodes and checks settings.
 ///
 /// # Errors
 ///
-/// All faults that were found; at least one.
+/// Returns all faults found, at least one.
 pub fn read_settings(document: &Document) -> Result<Settings, Vec<Fault>> {
     let settings: Settings = document.decode().map_err(|fault| vec![fault])?;
     let faults = check(&settings, document);
@@ -293,7 +293,7 @@
     faults
 }
 
-/// Stands for an address that was not given.
+/// Placeholder for an address that is not set.
 const fn no_address() -> SocketAddr {
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0)
 }
@@ -334,7 +334,7 @@
     1_000
 }
 
-/// Entries that start together know all that they need within 0.2 to 0.45 s.
+/// Entries that start at the same time have all required state within 0.2 to 0.45 s.
 const fn default_start_wait_ms() -> u64 {
     500
 }
@@ -343,7 +343,7 @@
     30_000
 }
 
-/// Targets ask for seconds. One that asks for an hour by mistake is asked again after 5 min.
+/// Targets request rests of seconds. A target that requests an hour by mistake receives work again after 5 min.
 const fn default_target_rest_most_ms() -> u64 {
     300_000
 }
--- a/crates/pinhaven-settings/tests/check.rs
+++ b/crates/pinhaven-settings/tests/check.rs
@@ -1,4 +1,4 @@
-//! Faults in settings: all are named at once, each with its line.
+//! Faults in settings: all faults are reported at once, each with its line.
 
 use pinhaven_document::Document;
 use pinhaven_settings::read_settings;
@@ -21,8 +21,8 @@
 fn faults(text: &str) -> Vec<(usize, String)> {
     let document = Document::new("entry.json", text);
     let faults = read_settings(&document).err().unwrap_or_default();
-    let place = |fault: pinhaven_document::Fault| (fault.line, fault.field);
-    faults.into_iter().map(place).collect()
+    let line_and_field = |fault: pinhaven_document::Fault| (fault.line, fault.field);
+    faults.into_iter().map(line_and_field).collect()
 }
 
 #[test]
