--- a/crates/pinhaven-bundle/src/canonical.rs
+++ b/crates/pinhaven-bundle/src/canonical.rs
@@ -1,4 +1,4 @@
-//! The one form of a bundle that is digested, signed and stored.
+//! Canonical form of a bundle, which is digested, signed and stored.
 
 use crate::Bundle;
 use pinhaven_types::Digest;
@@ -12,11 +12,11 @@
 }
 
 impl CanonicalBundle {
-    /// Brings a bundle into canonical form: services by name, targets by address, no white space.
+    /// Converts a bundle to canonical form: services sorted by name, targets by address, without white space.
     ///
     /// # Panics
     ///
-    /// Never: a bundle holds nothing that JSON cannot say.
+    /// Never panics, because JSON can represent every value in a bundle.
     pub fn new(mut bundle: Bundle) -> Self {
         bundle.services.sort_by(|a, b| a.name.cmp(&b.name));
         for service in &mut bundle.services {
@@ -31,17 +31,17 @@
         }
     }
 
-    /// Reads canonical bytes back.
+    /// Decodes canonical bytes.
     ///
     /// # Errors
     ///
-    /// The decoder's error when the bytes are not a bundle.
+    /// Returns the error of the decoder if the bytes are not a bundle.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, serde_json::Error> {
         let bundle = serde_json::from_slice(bytes)?;
         Ok(Self::new(bundle))
     }
 
-    /// The bundle.
+    /// The bundle in canonical order.
     pub fn bundle(&self) -> &Bundle {
         &self.bundle
     }
--- a/crates/pinhaven-bundle/src/check.rs
+++ b/crates/pinhaven-bundle/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a bundle that its types cannot make.
+//! Checks of a bundle beyond what its types enforce.
 
 use crate::Bundle;
 use crate::PathRoute;
@@ -12,11 +12,11 @@
 /// The highest priority of a service.
 const PRIORITY_MAX: u8 = 3;
 
-/// Reads a bundle and checks it.
+/// Decodes and checks a bundle.
 ///
 /// # Errors
 ///
-/// All faults that were found; at least one.
+/// Returns all faults found, at least one.
 pub fn read_bundle(document: &Document) -> Result<Bundle, Vec<Fault>> {
     let bundle: Bundle = document.decode().map_err(|fault| vec![fault])?;
     let faults = check(&bundle, document);
@@ -27,7 +27,7 @@
     }
 }
 
-/// All faults of a decoded bundle, each with the line it stands on in `document`.
+/// Returns all faults of a decoded bundle, each with its line in `document`.
 pub fn check(bundle: &Bundle, document: &Document) -> Vec<Fault> {
     let mut checker = Checker {
         document,
--- a/crates/pinhaven-bundle/src/difference.rs
+++ b/crates/pinhaven-bundle/src/difference.rs
@@ -1,8 +1,8 @@
-//! The difference between two versions.
+//! The difference between two versions of a bundle.
 //!
-//! A change touches one service or route of many. Entries send each other only the services and routes that
-//! changed; the receiver puts the whole body together and checks it against the signed digest, so a
-//! wrong difference can delay a version but never falsify it.
+//! A change usually affects one service or route of many. Entries send each other only the services and routes that
+//! changed; the receiver builds the whole body and checks it against the signed digest, so that a wrong difference can
+//! delay a version but never falsify it.
 
 use crate::Bundle;
 use crate::CanonicalBundle;
@@ -19,45 +19,45 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What turns one version into another.
+/// Difference that turns one version of a bundle into another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BundleDelta {
-    /// Version it starts from.
+    /// Version to which the difference applies.
     pub from: BundleVersion,
-    /// Version it leads to.
+    /// Version that results from applying the difference.
     pub to: BundleVersion,
-    /// The new `measuring`.
+    /// New value of `measuring`.
     pub measuring: Measuring,
-    /// The new `address_keep_ms`.
+    /// New value of `address_keep_ms`.
     pub address_keep_ms: u64,
     /// Services that are new or changed.
     pub changed: Vec<Service>,
-    /// Services that are gone.
+    /// Names of the services that were removed.
     pub removed: Vec<ServiceName>,
-    /// The new `hosts` in whole, when they changed and their order says more than their names.
+    /// The complete new `hosts`, if they changed and a host list of either version is not sorted by unique names.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hosts: Option<Vec<HostRoutes>>,
-    /// Otherwise the routes that are new, changed or gone.
+    /// Routes that are new, changed or removed, if `hosts` is not set.
     #[serde(default, skip_serializing_if = "RouteDelta::is_empty")]
     pub routes: RouteDelta,
-    /// The new `limits`.
+    /// New value of `limits`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limits: Option<RequestLimits>,
 }
 
-/// Why a difference can't be applied.
+/// Reason for which a difference cannot be applied.
 #[derive(Debug, Clone, PartialEq, Eq, DisplayDoc)]
 pub enum DeltaError {
     /// applying a difference: it starts from version {from}, but version {held} is held
     WrongStart {
-        /// Version the difference starts from.
+        /// Version to which the difference applies.
         from: BundleVersion,
-        /// Version that is held.
+        /// Version that the receiver holds.
         held: BundleVersion,
     },
     /// applying a difference: the digest is {found} where {signed} was signed off
     WrongDigest {
-        /// Digest of what came out.
+        /// Digest of the resulting body.
         found: Digest,
         /// Digest that was signed.
         signed: Digest,
@@ -67,10 +67,10 @@
 impl std::error::Error for DeltaError {}
 
 impl BundleDelta {
-    /// The difference between two bundles.
+    /// Computes the difference between two bundles.
     pub fn between(from: &Bundle, to: &Bundle) -> Self {
-        let old = by_name(from);
-        let new = by_name(to);
+        let old = services_by_name(from);
+        let new = services_by_name(to);
         let changed = to
             .services
             .iter()
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Services, targets and routes that it names: what it takes to keep and to send it.
+    /// Number of services, targets and routes in the difference, as a measure of the cost to store and send it.
     pub fn size(&self) -> usize {
         let whole_hosts = self.hosts.iter().flatten();
         let whole_routes: usize = whole_hosts.map(|host| host.paths.len()).sum();
@@ -104,20 +104,22 @@
         changed + self.removed.len() + whole_routes + self.routes.size()
     }
 
-    /// Applies the difference and checks what comes out against the signed digest.
+    /// Applies the difference and checks the resulting body against the signed digest.
     ///
     /// # Errors
     ///
-    /// [`DeltaError`] when the start or the outcome is another one.
+    /// Returns [`DeltaError`] if `held` is not the version to which the difference applies, or if the resulting body
+    /// has another digest than `signed`.
     pub fn apply(self, held: &Bundle, signed: Digest) -> Result<CanonicalBundle, DeltaError> {
         Self::apply_all(vec![self], held, signed)
     }
 
-    /// Applies differences that follow each other, and checks what comes out in the end.
+    /// Applies consecutive differences and checks the final body against the signed digest.
     ///
     /// # Errors
     ///
-    /// [`DeltaError`] when a start or the outcome is another one.
+    /// Returns [`DeltaError`] if the differences are not consecutive from the version of `held`, or if the final body
+    /// has another digest than `signed`.
     pub fn apply_all(
         deltas: Vec<Self>,
         held: &Bundle,
@@ -170,7 +172,7 @@
     }
 }
 
-fn by_name(bundle: &Bundle) -> BTreeMap<&ServiceName, &Service> {
+fn services_by_name(bundle: &Bundle) -> BTreeMap<&ServiceName, &Service> {
     bundle
         .services
         .iter()
@@ -178,9 +180,9 @@
         .collect()
 }
 
-/// The changes between two bundles, a line each, for people.
+/// Describes the changes between two bundles for people, one line for each change.
 pub fn describe_changes(from: &Bundle, to: &Bundle) -> Vec<String> {
-    let old = by_name(from);
+    let old = services_by_name(from);
     let delta = BundleDelta::between(from, to);
     let mut lines = Vec::new();
     if from.measuring != to.measuring {
--- a/crates/pinhaven-bundle/src/lib.rs
+++ b/crates/pinhaven-bundle/src/lib.rs
@@ -1,8 +1,8 @@
 //! The bundle: which services exist, which targets serve them and what a request may cost.
 //!
-//! Operators write a bundle as JSON with comments. [`check`] names every fault at once. A checked
-//! bundle has one canonical form, so that a digest and a signature over it mean the same to every
-//! reader, also to one that put the body together from an older version and a difference.
+//! Operators write a bundle as JSON with comments. [`check`] reports every fault at once. A checked bundle has one
+//! canonical form, so that every reader computes the same digest and verifies the same signature, including a reader
+//! that built the body from an older version and a difference.
 
 mod canonical;
 mod check;
--- a/crates/pinhaven-bundle/src/package.rs
+++ b/crates/pinhaven-bundle/src/package.rs
@@ -1,8 +1,8 @@
-//! A version as entries hand it to each other: its head with the differences that lead to it or its whole body,
-//! compressed.
+//! Compressed package in which entries send each other a version: its head with either the differences that lead to
+//! the version or the whole body.
 //!
-//! A package is named by the digest of its bytes. Whoever holds a part of it can go on at any peer that
-//! holds a package of the same name.
+//! A package is identified by the digest of its bytes. An entry that has received a part of a package can continue
+//! the transfer from any peer that holds a package with the same digest.
 
 use crate::Bundle;
 use crate::BundleDelta;
@@ -19,10 +19,10 @@
 use std::io::Read as _;
 use std::io::Write as _;
 
-/// The most that a package may hold once it is unpacked, in bytes.
+/// Maximum size of an unpacked package, in bytes.
 const UNPACKED_BYTES_MAX: u64 = 64 * 1024 * 1024;
 
-/// A version on its way to a peer.
+/// Compressed package of a version, for a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BundlePackage {
     version: BundleVersion,
@@ -30,25 +30,25 @@
     bytes: Vec<u8>,
 }
 
-/// What a peer gave. Nothing of it is verified yet.
+/// Decoded package from a peer. Its content is not verified.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UnpackedPackage {
-    /// The head of the version.
+    /// Head of the version.
     pub head: BundleHead,
-    /// What leads to it.
+    /// Differences or body of the version.
     pub content: PackageContent,
 }
 
-/// What leads to a version.
+/// Differences or body from which a receiver builds a version.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PackageContent {
-    /// The differences from the receiver's version on.
+    /// Consecutive differences, starting from the receiver's version.
     Differences(Vec<BundleDelta>),
-    /// The whole body.
+    /// The whole body of the version.
     Whole(CanonicalBundle),
 }
 
-/// Why a package can't be used or made.
+/// Reason for which a package cannot be created or unpacked.
 #[derive(Debug, DisplayDoc)]
 pub enum PackageError {
     /// packing a version: {0}
@@ -82,11 +82,11 @@
 }
 
 impl BundlePackage {
-    /// A package with the whole body.
+    /// Creates a package with the whole body.
     ///
     /// # Errors
     ///
-    /// [`PackageError::Pack`] when it can't be written.
+    /// Returns [`PackageError::Pack`] if encoding fails.
     pub fn with_whole(head: &BundleHead, body: &CanonicalBundle) -> Result<Self, PackageError> {
         Self::pack(&PackedForm {
             head,
@@ -95,11 +95,11 @@
         })
     }
 
-    /// A package with the differences that lead to the head's version, one after the other.
+    /// Creates a package with the consecutive differences that lead to the version of the head.
     ///
     /// # Errors
     ///
-    /// [`PackageError::Pack`] when it can't be written.
+    /// Returns [`PackageError::Pack`] if encoding fails.
     pub fn with_differences(
         head: &BundleHead,
         differences: &[BundleDelta],
@@ -112,7 +112,7 @@
     }
 
     fn pack(form: &PackedForm<'_>) -> Result<Self, PackageError> {
-        // The fastest level already finds what repeats from route to route.
+        // The fastest compression level already removes the repetition between routes.
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         let text = serde_json::to_vec(form).map_err(|error| PackageError::Pack(error.into()))?;
         encoder.write_all(&text).map_err(PackageError::Pack)?;
@@ -124,11 +124,11 @@
         })
     }
 
-    /// Unpacks what came from a peer.
+    /// Unpacks the bytes of a package from a peer.
     ///
     /// # Errors
     ///
-    /// [`PackageError`] when it is no package.
+    /// Returns [`PackageError`] if the bytes are not a package or exceed the maximum unpacked size.
     pub fn unpack(bytes: &[u8]) -> Result<UnpackedPackage, PackageError> {
         let mut text = Vec::new();
         let mut decoder = DeflateDecoder::new(bytes).take(UNPACKED_BYTES_MAX + 1);
@@ -149,17 +149,17 @@
         })
     }
 
-    /// The version that it leads to.
+    /// Version that the package leads to.
     pub fn version(&self) -> BundleVersion {
         self.version
     }
 
-    /// Its name: the digest of its bytes.
+    /// Digest of the package bytes, which identifies the package.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// Its bytes.
+    /// The compressed bytes of the package.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
--- a/crates/pinhaven-bundle/src/route.rs
+++ b/crates/pinhaven-bundle/src/route.rs
@@ -1,8 +1,8 @@
-//! Routes: which requests of a host go to which services, and what each may cost in time.
+//! Routes: which requests of a host go to which services, with their time limits and priority.
 //!
-//! The route of a request is the one of its host with the longest `path_prefix` that begins the path.
-//! A route divides its requests among its parts in proportion to their weights, whatever the parts
-//! have room for: what does not fit a part is refused, never moved to another.
+//! A request takes the route of its host with the longest `path_prefix` that begins its path. A route divides its
+//! requests among its parts in proportion to their weights, whatever capacity the parts have: a request that exceeds
+//! the capacity of its part is refused, never moved to another part.
 
 use pinhaven_types::RouteName;
 use pinhaven_types::ServiceName;
@@ -19,35 +19,35 @@
     pub paths: Vec<PathRoute>,
 }
 
-/// One route.
+/// A route: the requests of a host under one path prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PathRoute {
-    /// Name, for logs and metrics.
+    /// Name of the route, for logs and metrics.
     pub name: RouteName,
-    /// Start of the paths that it takes.
+    /// Prefix of the paths that the route matches.
     pub path_prefix: String,
-    /// Whether its requests may be repeated.
+    /// Whether requests of the route may be repeated.
     pub kind: RequestKind,
-    /// The longest that a request is held, in milliseconds.
+    /// Maximum time that a request is held, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an answer is worth all it can be, in milliseconds.
+    /// Latency objective: time within which an answer has its full value, in milliseconds.
     pub aim_ms: u64,
     /// Importance from 0 (refused first) to 3 (refused last).
     pub priority: u8,
-    /// Targets that one request may be sent to.
+    /// Maximum number of targets to which one request may be sent.
     pub attempts_most: u32,
-    /// The services that share its requests; one, or several with weights.
+    /// Services that share the requests of the route, with their weights; at least one.
     pub split: Vec<SplitPart>,
 }
 
-/// A service's part of a route's requests.
+/// Part of a route's requests that goes to one service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SplitPart {
-    /// The service.
+    /// Service that receives the part.
     pub service: ServiceName,
-    /// Its weight against the other parts'.
+    /// Weight of the part relative to the other parts of the route.
     pub weight: f64,
 }
 
@@ -55,31 +55,31 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestKind {
-    /// It may run any number of times.
+    /// The request may be executed any number of times.
     Idempotent,
-    /// It may run at most once.
+    /// The request may be executed at most once.
     NonIdempotent,
-    /// It may run at most once, and its body is large.
+    /// The request may be executed at most once, and its body is large.
     Upload,
 }
 
 impl RequestKind {
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub fn is_repeatable(self) -> bool {
         self == Self::Idempotent
     }
 }
 
-/// What a request may bring and how long a connection may rest.
+/// Limits on the size of requests and on the time that connections are idle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestLimits {
-    /// The largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: u64,
-    /// The largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// How long a head may take to come, in milliseconds.
+    /// Maximum time to receive a request head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a caller's connection may rest, in milliseconds.
+    /// Maximum idle time of a caller's connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
--- a/crates/pinhaven-bundle/src/route_delta.rs
+++ b/crates/pinhaven-bundle/src/route_delta.rs
@@ -1,7 +1,7 @@
-//! The difference between the routes of two versions.
+//! The difference between the routes of two versions of a bundle.
 //!
-//! Routes are told apart by host and path prefix. That leads to the same body only where both versions
-//! list them in the order of these names, each once; [`sort_routes`] brings them into it.
+//! A difference identifies routes by host and path prefix. Applying it reproduces the same body only if both versions
+//! list each host and prefix once and in sorted order; [`sort_routes`] sorts them.
 
 use crate::HostRoutes;
 use crate::PathRoute;
@@ -9,21 +9,21 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Routes that are new, changed or gone.
+/// Routes that are new, changed or removed.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteDelta {
-    /// Routes that are new or changed, by host; a new host stands here also without any.
+    /// Routes that are new or changed, by host; a new host is listed even if it has no routes.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     changed: Vec<HostRoutes>,
-    /// Routes that are gone.
+    /// Routes that were removed from hosts that remain.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     removed: Vec<RemovedRoutes>,
-    /// Hosts that are gone.
+    /// Hosts that were removed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     removed_hosts: Vec<String>,
 }
 
-/// Routes of a host that are gone.
+/// Removed routes of one host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct RemovedRoutes {
     host: String,
@@ -34,36 +34,37 @@
 type RoutesByName = BTreeMap<String, BTreeMap<String, PathRoute>>;
 
 impl RouteDelta {
-    /// The difference, or `None` where only whole lists lead from the one to the other.
+    /// Computes the difference; `None` if the lists differ and one of them is not sorted by unique names, so that only
+    /// the complete new list reproduces the same body.
     pub fn between(from: &[HostRoutes], to: &[HostRoutes]) -> Option<Self> {
         if !is_sorted(from) || !is_sorted(to) {
             return (from == to).then(Self::default);
         }
         let old = borrowed_by_name(from);
         let new = borrowed_by_name(to);
-        let changed = to.iter().filter_map(|host| changed_of(host, &old));
-        let removed = from.iter().filter_map(|host| removed_of(host, &new));
-        let gone = from.iter().filter(|host| !new.contains_key(&*host.host));
+        let changed = to.iter().filter_map(|host| changed_routes(host, &old));
+        let removed = from.iter().filter_map(|host| removed_routes(host, &new));
+        let removed_hosts = from.iter().filter(|host| !new.contains_key(&*host.host));
         Some(Self {
             changed: changed.collect(),
             removed: removed.collect(),
-            removed_hosts: gone.map(|host| host.host.clone()).collect(),
+            removed_hosts: removed_hosts.map(|host| host.host.clone()).collect(),
         })
     }
 
-    /// Whether nothing differs.
+    /// Whether the difference has no changes.
     pub fn is_empty(&self) -> bool {
         self.changed.is_empty() && self.removed.is_empty() && self.removed_hosts.is_empty()
     }
 
-    /// Routes and hosts that it names.
+    /// Number of routes and hosts in the difference.
     pub fn size(&self) -> usize {
         let changed = self.changed.iter().map(|host| 1 + host.paths.len());
         let removed = self.removed.iter().map(|host| host.path_prefixes.len());
         changed.chain(removed).sum::<usize>() + self.removed_hosts.len()
     }
 
-    /// The routes that it leads to.
+    /// Applies the difference to the routes in `held`.
     pub(crate) fn apply(self, held: Vec<HostRoutes>) -> Vec<HostRoutes> {
         if self.is_empty() {
             return held;
@@ -93,8 +94,8 @@
     }
 }
 
-/// Brings routes into the order of their names, in which a difference can name single ones. Of two with one
-/// name the first stays first.
+/// Sorts routes by host and path prefix, so that a difference can identify single routes. The sort is stable: routes
+/// with the same host and prefix retain their order.
 pub fn sort_routes(hosts: &mut [HostRoutes]) {
     hosts.sort_by(|a, b| a.host.cmp(&b.host));
     for host in hosts {
@@ -130,8 +131,8 @@
     named.collect()
 }
 
-/// The routes of a host that are new or changed; `None` when there are none and the host is known.
-fn changed_of(host: &HostRoutes, old: &BorrowedByName<'_>) -> Option<HostRoutes> {
+/// New or changed routes of a host; `None` if there are none and the earlier version has the host.
+fn changed_routes(host: &HostRoutes, old: &BorrowedByName<'_>) -> Option<HostRoutes> {
     let known = old.get(&*host.host);
     let is_known =
         |route: &&PathRoute| known.and_then(|known| known.get(&*route.path_prefix)) == Some(route);
@@ -143,12 +144,12 @@
     })
 }
 
-/// The routes of a host that are gone while it stays.
-fn removed_of(host: &HostRoutes, new: &BorrowedByName<'_>) -> Option<RemovedRoutes> {
-    let kept = new.get(&*host.host)?;
+/// Removed routes of a host; `None` if there are none or if the host itself was removed.
+fn removed_routes(host: &HostRoutes, new: &BorrowedByName<'_>) -> Option<RemovedRoutes> {
+    let remaining = new.get(&*host.host)?;
     let prefixes = host.paths.iter().map(|route| &route.path_prefix);
-    let gone = prefixes.filter(|prefix| !kept.contains_key(&***prefix));
-    let path_prefixes: Vec<String> = gone.cloned().collect();
+    let removed = prefixes.filter(|prefix| !remaining.contains_key(&***prefix));
+    let path_prefixes: Vec<String> = removed.cloned().collect();
     (!path_prefixes.is_empty()).then(|| RemovedRoutes {
         host: host.host.clone(),
         path_prefixes,
--- a/crates/pinhaven-bundle/src/schema.rs
+++ b/crates/pinhaven-bundle/src/schema.rs
@@ -16,20 +16,20 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
-    /// Version that this bundle becomes, one more than the one in force.
+    /// Version of this bundle: the version in force plus one.
     pub version: BundleVersion,
     /// How load is measured.
     #[serde(default)]
     pub measuring: Measuring,
-    /// How long callers may keep an address answer, in milliseconds.
+    /// Time that callers may cache an address answer, in milliseconds.
     #[serde(default = "default_address_keep_ms")]
     pub address_keep_ms: u64,
     /// The services, each with its targets.
     pub services: Vec<Service>,
-    /// Hosts whose requests go by path; a service's own `hosts` need none.
+    /// Hosts whose requests are routed by path; the `hosts` of a service need no entry here.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub hosts: Vec<HostRoutes>,
-    /// What a request may bring and how long a connection may rest.
+    /// Limits on the size of requests and on the time that connections are idle.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limits: Option<RequestLimits>,
 }
@@ -38,9 +38,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Measuring {
-    /// How many entries at most probe at a time; each target is probed by one of them.
+    /// Maximum number of entries that probe at a time; each target is probed by one of them.
     pub seats: u32,
-    /// The span over which the budget is kept, in milliseconds.
+    /// Window over which the measuring budget applies, in milliseconds.
     pub window_ms: u64,
 }
 
@@ -53,90 +53,90 @@
     }
 }
 
-/// A service and what its requests may cost.
+/// A service, its targets and the limits of its requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Name, unique in the bundle.
+    /// Name of the service, unique in the bundle.
     pub name: ServiceName,
-    /// Values of the `Host` header that mean this service.
+    /// Values of the `Host` header that select this service.
     #[serde(default)]
     pub hosts: Vec<String>,
-    /// Requests that a target works on at a time.
+    /// Number of requests that a target processes concurrently.
     pub slots: u32,
-    /// Connections that a target takes from all entries together.
+    /// Maximum number of connections to one target from all entries together.
     #[serde(default = "default_connections")]
     pub connections: u32,
-    /// How many entries at most share the connections of a target.
+    /// Maximum number of entries that share the connections of a target.
     #[serde(default = "default_entries_most")]
     pub entries_most: u32,
-    /// How many entries an address answer names; fewer make local counts truer.
+    /// Number of entries that an address answer names; with fewer entries, the counts of each entry are more accurate.
     #[serde(default = "default_entries_named")]
     pub entries_named: u32,
-    /// Deadline of a request that names none, in milliseconds.
+    /// Deadline of a request that specifies none, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Typical time of a request, in milliseconds; used until it has been measured.
+    /// Typical duration of a request, in milliseconds; used until the duration has been measured.
     #[serde(default = "default_typical_ms")]
     pub typical_ms: u64,
     /// Importance from 0 (refused first) to 3 (refused last).
     #[serde(default = "default_priority")]
     pub priority: u8,
-    /// How a target is chosen.
+    /// Policy for choosing a target.
     #[serde(default)]
     pub policy: Policy,
-    /// Hedges allowed, in percent of requests.
+    /// Maximum hedges, in percent of requests.
     #[serde(default = "default_hedge_budget")]
     pub hedge_budget_percent: Percent,
-    /// Retries allowed, in percent of requests.
+    /// Maximum retries, in percent of requests.
     #[serde(default = "default_retry_budget")]
     pub retry_budget_percent: Percent,
-    /// Share of a target's slot time that measuring may cost.
+    /// Maximum share of a target's slot time that measuring may cost.
     #[serde(default = "default_measuring_budget")]
     pub measuring_budget_percent: Percent,
-    /// Slot time that a probe costs, in milliseconds.
+    /// Slot time that one probe costs, in milliseconds.
     #[serde(default = "default_probe_cost_ms")]
     pub probe_cost_ms: u64,
     /// Slot time that a new connection costs, in milliseconds.
     #[serde(default = "default_connection_cost_ms")]
     pub connection_cost_ms: u64,
-    /// Path of a target's load report; no probes are sent without it.
+    /// Path of a target's load report; without a path no probes are sent.
     #[serde(default)]
     pub probe_path: Option<String>,
-    /// Statuses by which targets say that they did not run a request.
+    /// Statuses by which a target reports that it did not execute a request.
     #[serde(default)]
     pub not_run_statuses: Vec<u16>,
-    /// Whether an answer must carry the request's `X-Request-Id` back.
+    /// Whether an answer must echo the `X-Request-Id` of its request.
     #[serde(default)]
     pub require_echo: bool,
-    /// Whether an answer may end with its connection, without a length.
+    /// Whether an answer may have no length and end when its connection closes.
     #[serde(default, skip_serializing_if = "is_false")]
     pub unbounded_answers: bool,
-    /// The largest body kept for another attempt, in bytes.
+    /// Maximum size of a body that is buffered for another attempt, in bytes.
     #[serde(default = "default_replay_bytes")]
     pub replay_bytes: u64,
-    /// The largest body taken at all, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "default_body_bytes")]
     pub body_bytes: u64,
-    /// Which requests may be repeated; the first route that matches counts.
+    /// Rules for which requests may be repeated; the first matching route applies.
     #[serde(default)]
     pub routes: Vec<Route>,
-    /// The targets; none for a service whose targets are discovered.
+    /// Targets of the service; empty if its targets are discovered.
     #[serde(default)]
     pub targets: Vec<Target>,
 }
 
-/// Which requests may be repeated.
+/// Rule for which requests of a service may be repeated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Method, or `*` for each.
+    /// Method, or `*` for any method.
     pub method: String,
-    /// Start of the path.
+    /// Prefix of the path.
     pub path_prefix: String,
-    /// Whether the request may be run more than once.
+    /// Whether the request may be executed more than once.
     pub repeatable: bool,
-    /// Whether a request without an `Idempotency-Key` is turned away.
+    /// Whether a request without an `Idempotency-Key` is refused.
     #[serde(default)]
     pub key_required: bool,
 }
@@ -145,29 +145,29 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Where it listens.
+    /// Address at which the target listens.
     pub address: TargetAddress,
-    /// Where it stands.
+    /// Failure domain in which the target runs.
     pub failure_domain: FailureDomain,
-    /// Whether it takes new work.
+    /// Whether the target accepts new work.
     #[serde(default)]
     pub state: TargetState,
-    /// Its id, by which another target at the same address is told from it.
+    /// Id of the target, which distinguishes it from another target at the same address.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<TargetId>,
-    /// Its run, by which it is told from an earlier one with its id.
+    /// Run of the target, which distinguishes it from an earlier run with the same id.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<TargetIncarnation>,
-    /// Requests that it works on at a time, where that differs from the service's.
+    /// Number of requests that the target processes concurrently, if it differs from `slots` of the service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub slots: Option<u32>,
-    /// How much longer it is slow from its start, in milliseconds.
+    /// Remaining warm-up time, in which the target is slow after its start, in milliseconds.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub warm_up_ms: u64,
 }
 
 impl Target {
-    /// A live target of which no more is known than where it is.
+    /// Creates a live target of which only the address and the failure domain are known.
     pub fn new(address: TargetAddress, failure_domain: FailureDomain) -> Self {
         Self {
             address,
@@ -181,38 +181,38 @@
     }
 }
 
-/// Whether a target takes new work.
+/// Whether a target accepts new work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetState {
-    /// It takes new work.
+    /// The target accepts new work.
     #[default]
     Live,
-    /// It finishes what it has and takes nothing new.
+    /// The target finishes its requests and accepts no new work.
     Leaving,
 }
 
-/// How a target is chosen.
+/// Policy for choosing a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// Any target, by lot.
+    /// A target chosen at random.
     Random,
-    /// One after the other.
+    /// Each target in turn.
     RoundRobin,
-    /// The one with the fewest requests of this entry.
+    /// The target with the fewest requests of this entry in flight.
     LeastInFlight,
-    /// The better of two drawn by lot, by requests of this entry.
+    /// Of two targets chosen at random, the one with fewer requests of this entry in flight.
     TwoChoices,
-    /// Counts, aged reports and overdue requests over several draws.
+    /// The best of several random choices, scored by request counts, aged load reports and overdue requests.
     #[default]
     Pinhaven,
-    /// The earliest expected answer, from slots, reported speed and the counts of all entries.
+    /// The target with the earliest expected answer, from slots, reported speed and the counts of all entries.
     Forecast,
 }
 
 impl Bundle {
-    /// Services, targets and routes that it names.
+    /// Number of services, targets and routes in the bundle.
     pub fn size(&self) -> usize {
         let services = self
             .services
@@ -224,7 +224,7 @@
 }
 
 impl Service {
-    /// A service without hosts and targets, with every other field at its default.
+    /// Creates a service without hosts and targets, with every other field at its default.
     pub fn new(name: ServiceName, slots: u32) -> Self {
         Self {
             name,
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Whether a request may be repeated: the first matching route, else by its method.
+    /// Whether a request may be repeated: as the first matching route says, otherwise by its method.
     pub fn is_repeatable(&self, method: &str, path: &str) -> bool {
         match self.route_for(method, path) {
             Some(route) => route.repeatable,
@@ -261,7 +261,7 @@
         }
     }
 
-    /// The first route that matches.
+    /// The first route that matches a method and path.
     pub fn route_for(&self, method: &str, path: &str) -> Option<&Route> {
         self.routes.iter().find(|route| {
             (route.method == "*" || route.method == method) && path.starts_with(&route.path_prefix)
--- a/crates/pinhaven-bundle/src/sign.rs
+++ b/crates/pinhaven-bundle/src/sign.rs
@@ -1,7 +1,8 @@
-//! Signing a bundle off by name, and verifying that.
+//! Signing of bundles and verification of the signatures.
 //!
-//! The signature covers the version, the digest of the canonical body and the signer's name. Entries
-//! verify it themselves against the names in their settings; the command's check is a convenience.
+//! The signature covers the version, the digest of the canonical body and the signer's name. Each
+//! entry verifies the signature against the trusted signers in its own settings; the check by the command is only a
+//! convenience.
 
 use crate::CanonicalBundle;
 use displaydoc::Display as DisplayDoc;
@@ -16,24 +17,24 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// What a signature starts with, so that it can't be taken for one over something else.
+/// First line of each signed statement, so that a signature over other data cannot be used as a signature of a bundle.
 const SIGNATURE_CONTEXT: &str = "pinhaven bundle sign-off 1";
 
-/// Why a sign-off is not accepted.
+/// Reason for which a signature or key is not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, DisplayDoc)]
 pub enum SignError {
     /// verifying version {version}: {signer} is not a trusted signer
     UnknownSigner {
         /// The version.
         version: BundleVersion,
-        /// Who signed.
+        /// Name of the person who signed.
         signer: SignerName,
     },
     /// verifying version {version}: the signature is not {signer}'s over this body
     WrongSignature {
         /// The version.
         version: BundleVersion,
-        /// Who is said to have signed.
+        /// Name of the person who is claimed to have signed.
         signer: SignerName,
     },
     /// verifying version {version}: the body's digest is {found}, {signed} was signed off
@@ -70,27 +71,27 @@
     }
 }
 
-/// The key a person signs with.
+/// Private key with which a person signs bundles.
 pub struct PrivateKey(ed25519_dalek::SigningKey);
 
 impl PrivateKey {
-    /// A new random key.
+    /// Creates a random key.
     ///
     /// # Panics
     ///
-    /// Panics when the system has no random source.
+    /// Panics if the operating system has no random source.
     pub fn random() -> Self {
         let mut bytes = [0; 32];
         getrandom::fill(&mut bytes).expect("the system has a random source");
         Self(ed25519_dalek::SigningKey::from_bytes(&bytes))
     }
 
-    /// The key that verifies what this one signs.
+    /// Public key that verifies signatures of this private key.
     pub fn public_key(&self) -> PublicKey {
         PublicKey(self.0.verifying_key())
     }
 
-    /// The secret in hexadecimal, for the key file.
+    /// Formats the secret in hexadecimal, for the key file.
     pub fn to_secret_text(&self) -> String {
         hex::encode(self.0.to_bytes())
     }
@@ -106,7 +107,7 @@
     }
 }
 
-/// The key that verifies a person's signatures.
+/// Public key that verifies the signatures of a person.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct PublicKey(ed25519_dalek::VerifyingKey);
@@ -142,48 +143,48 @@
     }
 }
 
-/// A person whose sign-off counts.
+/// Person whose signatures are accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrustedSigner {
     /// Name of the person.
     pub name: SignerName,
-    /// The person's public key.
+    /// Public key of the person.
     pub public_key: PublicKey,
 }
 
-/// What the head of the history says of one version.
+/// Head of the bundle history: the digest and signature of one version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BundleHead {
     /// The version.
     pub version: BundleVersion,
-    /// Digest of its canonical body.
+    /// Digest of the canonical body.
     pub digest: Digest,
-    /// Who signed it off.
+    /// Name of the person who signed the version.
     pub signer: SignerName,
     /// The signature, in hexadecimal.
     pub signature: String,
-    /// The write that made it the head.
+    /// Id of the write that made this version the head.
     pub operation: OperationId,
 }
 
-/// A signed bundle as it lies in a file between signing and rolling.
+/// Signed bundle as stored in a file between signing and rolling.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SignedBundle {
     /// The version.
     pub version: BundleVersion,
     /// Digest of the canonical body.
     pub digest: Digest,
-    /// Who signed it off.
+    /// Name of the person who signed the version.
     pub signer: SignerName,
     /// The signature, in hexadecimal.
     pub signature: String,
-    /// The body.
+    /// Body of the bundle.
     pub body: crate::Bundle,
 }
 
 impl SignedBundle {
-    /// Signs a bundle off.
+    /// Signs a bundle.
     pub fn new(bundle: &CanonicalBundle, signer: SignerName, key: &PrivateKey) -> Self {
         let version = bundle.bundle().version;
         let statement = statement(version, bundle.digest(), &signer);
@@ -197,7 +198,7 @@
         }
     }
 
-    /// The head that rolling this bundle would write.
+    /// Creates the head that rolling this bundle writes.
     pub fn head(&self, operation: OperationId) -> BundleHead {
         BundleHead {
             version: self.version,
@@ -209,11 +210,12 @@
     }
 }
 
-/// Verifies a head and the body that it names.
+/// Verifies a head and the body to which it refers.
 ///
 /// # Errors
 ///
-/// [`SignError`] when the signer is not trusted or anything was altered.
+/// Returns [`SignError`] if the signer is not trusted or if the version, the digest, the signature or the body was
+/// altered.
 pub fn verify_head(
     head: &BundleHead,
     body: &CanonicalBundle,
--- a/crates/pinhaven-bundle/tests/check.rs
+++ b/crates/pinhaven-bundle/tests/check.rs
@@ -1,4 +1,4 @@
-//! Faults in bundles: each is named with its line, field and advice.
+//! Faults in bundles: each fault is reported with its line, field and correction.
 
 use pinhaven_bundle::read_bundle;
 use pinhaven_document::Document;
@@ -26,8 +26,8 @@
         assert!(!fault.help.is_empty(), "{fault}");
         assert!(fault.to_string().starts_with("bundle.json:"), "{fault}");
     }
-    let place = |fault: pinhaven_document::Fault| (fault.line, fault.field);
-    faults.into_iter().map(place).collect()
+    let line_and_field = |fault: pinhaven_document::Fault| (fault.line, fault.field);
+    faults.into_iter().map(line_and_field).collect()
 }
 
 #[test]
@@ -37,7 +37,7 @@
 
 #[test]
 fn each_fault_names_its_line_and_field() {
-    // (text in the good bundle, what stands there instead, line, field)
+    // (text in the good bundle, replacement, line of the fault, field of the fault)
     let table = [
         ("\"version\": 1", "\"version\": 0", 3, "version"),
         ("\"slots\": 6", "\"slots\": 0", 8, "services[0].slots"),
--- a/crates/pinhaven-bundle/tests/difference.rs
+++ b/crates/pinhaven-bundle/tests/difference.rs
@@ -1,4 +1,4 @@
-//! Differences between versions lead to the very body that was signed, or to nothing.
+//! Differences between versions: applying them gives exactly the signed body, or an error.
 
 use pinhaven_bundle::Bundle;
 use pinhaven_bundle::BundleDelta;
@@ -9,7 +9,7 @@
 use quickcheck::QuickCheck;
 use serde_json::json;
 
-/// A bundle with a service for each entry of `slots`; 0 means that there is none.
+/// A bundle with one service for each nonzero element of `slots`; 0 omits the service.
 fn bundle(version: u64, slots: &[u8]) -> Bundle {
     let services: Vec<_> = slots
         .iter()
--- a/crates/pinhaven-bundle/tests/routes.rs
+++ b/crates/pinhaven-bundle/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Differences between routes: they lead to the very body that was meant, and name only what changed.
+//! Differences between routes: applying them gives exactly the intended body, and they list only changed routes.
 
 use pinhaven_bundle::Bundle;
 use pinhaven_bundle::BundleDelta;
@@ -14,7 +14,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// A route whose time-out tells one version of it from another.
+/// A route whose timeout distinguishes its versions.
 fn route(number: usize, timeout_ms: u8) -> Value {
     json!({
         "name": format!("route-{number}"), "path_prefix": format!("/path-{number}/"),
@@ -23,7 +23,7 @@
     })
 }
 
-/// A bundle with a host for each list and a route for each number in it; 0 means that there is none.
+/// A bundle with one host for each list and one route for each nonzero number in the list; 0 omits the route.
 fn bundle(version: u64, hosts: &[Vec<u8>]) -> Bundle {
     let host = |(index, routes): (usize, &Vec<u8>)| {
         let routes = routes.iter().enumerate().filter(|(_, time)| **time > 0);
@@ -47,7 +47,7 @@
     }
 }
 
-/// Through the package that entries hand to each other.
+/// Sends the difference through a package, as entries do.
 fn packed_differences_lead_to_the_body(before: Vec<Vec<u8>>, after: Vec<Vec<u8>>) -> bool {
     let before = CanonicalBundle::new(bundle(1, &before));
     let after = CanonicalBundle::new(bundle(2, &after));
@@ -83,8 +83,8 @@
     read.digest() == body.digest()
 }
 
-/// Fractions whose last digit was lost in reading made a version that no peer could take: its digest was another one
-/// at each entry but those that read the store.
+/// Guards against a weight that loses its last digit when it is parsed. Only entries that read the store then compute
+/// the signed digest; every other entry computes another digest and refuses the version.
 #[test]
 fn any_weight_of_a_route_leads_to_the_same_digest_everywhere() {
     QuickCheck::new()
@@ -111,11 +111,11 @@
 }
 
 #[test]
-fn routes_whose_order_matters_are_told_as_a_whole() {
+fn routes_whose_order_matters_are_sent_as_a_whole() {
     let mut before = bundle(1, &[vec![1, 1, 1]]);
     let mut after = bundle(2, &[vec![1, 2, 1]]);
     before.hosts[0].paths.reverse();
-    // Two routes of one prefix: the first counts.
+    // Two routes with the same prefix: the first route applies, so their order matters.
     let twin = after.hosts[0].paths[0].clone();
     after.hosts[0].paths.push(twin);
     let delta = BundleDelta::between(&before, &after);
--- a/crates/pinhaven-bundle/tests/sign.rs
+++ b/crates/pinhaven-bundle/tests/sign.rs
@@ -1,4 +1,4 @@
-//! Signatures: anything altered, wrongly signed or signed by a stranger is refused.
+//! Signatures: an altered bundle, a wrong signature and an untrusted signer are refused.
 
 use pinhaven_bundle::Bundle;
 use pinhaven_bundle::BundleHead;
