--- a/crates/pinhaven-settings/src/lib.rs
+++ b/crates/pinhaven-settings/src/lib.rs
@@ -84,7 +84,7 @@
     /// Interval between exchanges with a peer, in milliseconds.
     #[serde(default = "default_gossip_ms")]
     pub gossip_ms: u64,
-    /// Age of the process, in milliseconds, up to which requests wait for the state that this entry needs to serve them.
+    /// Age of the process, in milliseconds, up to which requests wait for the state needed to serve them.
     #[serde(default = "default_start_wait_ms")]
     pub start_wait_ms: u64,
     /// Time after which an idle or half-sent caller connection is closed, in milliseconds.
