--- a/crates/pinhaven-bundle/src/lib.rs
+++ b/crates/pinhaven-bundle/src/lib.rs
@@ -1,4 +1,4 @@
-//! The bundle: which services exist, which targets serve them and what a request may cost.
+//! Configuration bundle: the services, their targets and routes, and the limits of requests.
 //!
 //! Operators write a bundle as JSON with comments. [`check`] reports every fault at once. A checked bundle has one
 //! canonical form, so that every reader computes the same digest and verifies the same signature, including a reader
--- a/crates/pinhaven-document/src/lib.rs
+++ b/crates/pinhaven-document/src/lib.rs
@@ -21,7 +21,7 @@
     pub field: String,
     /// Description of the fault.
     pub message: String,
-    /// Correction: what to write instead.
+    /// Correction that the user can make.
     pub help: String,
 }
 
--- a/crates/pinhaven-settings/src/lib.rs
+++ b/crates/pinhaven-settings/src/lib.rs
@@ -81,7 +81,7 @@
     /// Interval between polls of the head of the bundle history, in milliseconds.
     #[serde(default = "default_head_poll_ms")]
     pub head_poll_ms: u64,
-    /// Interval between exchanges with a peer, in milliseconds.
+    /// Interval at which an entry exchanges state with one of its peers, in milliseconds.
     #[serde(default = "default_gossip_ms")]
     pub gossip_ms: u64,
     /// Age of the process, in milliseconds, up to which requests wait for the state needed to serve them.
