--- a/crates/pinhaven-lab/tests/callers.rs
+++ b/crates/pinhaven-lab/tests/callers.rs
@@ -66,13 +66,13 @@
         let mut settings = CallerSettings::new(seeds.clone(), "quote", 1.0, 1);
         settings.domain = "domain-b".to_owned();
         let caller = Caller::new(settings);
-        let answer = caller.ask(seeds[0]).await.unwrap();
+        let answer = caller.fetch_entries(seeds[0]).await.unwrap();
         assert_eq!(answer.entries.len(), 3);
         assert_eq!(answer.entries[0].failure_domain, "domain-b");
         let lost = lab.row(2).await.unwrap().caller_address;
         lab.kill_entry(2);
         let forgotten = async || {
-            let answer = caller.ask(seeds[0]).await;
+            let answer = caller.fetch_entries(seeds[0]).await;
             answer.is_some_and(|answer| answer.entries.iter().all(|e| e.address != lost))
         };
         lab.wait_for("the lost entry not to be named", forgotten)
--- a/crates/pinhaven-lab/tests/once_only.rs
+++ b/crates/pinhaven-lab/tests/once_only.rs
@@ -159,7 +159,7 @@
         let lab = lab().await;
         let seeds = lab.caller_addresses().await;
         let caller = Caller::new(CallerSettings::new(seeds.clone(), "quote", 1.0, 1));
-        let entries = caller.ask(seeds[0]).await.unwrap().entries;
+        let entries = caller.fetch_entries(seeds[0]).await.unwrap().entries;
         let home = &entries[0];
         let mut bodies = Vec::new();
         for entry in &entries {
--- a/crates/pinhaven-stand-in/src/caller/mod.rs
+++ b/crates/pinhaven-stand-in/src/caller/mod.rs
@@ -311,7 +311,7 @@
         let mut known = self.known.lock().clone();
         random.shuffle(&mut known);
         for entry in known {
-            if let Some(answer) = self.ask(entry).await {
+            if let Some(answer) = self.fetch_entries(entry).await {
                 self.learn(&answer);
                 let keep = Duration::from_millis(answer.keep_ms);
                 *self.kept.lock() = Kept {
@@ -334,7 +334,7 @@
     }
 
     /// Asks an entry which entries to use.
-    pub async fn ask(&self, entry: SocketAddr) -> Option<AddressAnswer> {
+    pub async fn fetch_entries(&self, entry: SocketAddr) -> Option<AddressAnswer> {
         let uri = format!(
             "/.well-known/pinhaven/entries?service={}&domain={}",
             self.settings.service, self.settings.domain
