--- a/crates/pinhaven-stand-in/src/caller/mod.rs
+++ b/crates/pinhaven-stand-in/src/caller/mod.rs
@@ -1,7 +1,8 @@
-//! A stand-in caller: asks which entries to use, keeps the answer, connects and sends requests.
+//! A stand-in caller: resolves the entries of a service, caches the answer and sends requests to the entries.
 //!
-//! Requests leave at the times of a Poisson process whether or not earlier ones were answered, and
-//! each is timed from the moment it was due. Every answer is checked to be whole and the caller's own.
+//! Requests are sent at the times of a Poisson process, whether or not earlier requests were answered. Latency is
+//! measured from the scheduled send time, so that a delayed send counts as latency. The caller checks that every
+//! answer is complete and belongs to its request, and returns its statistics as a [`CallerReport`].
 
 mod report;
 mod settings;
@@ -34,92 +35,93 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Idle connections kept to each entry.
-const IDLE_CONNECTIONS: usize = 512;
-/// Time past the deadline that a caller waits before it gives up, in milliseconds.
-const PATIENCE_MS: u64 = 2_000;
-/// Entries that a request is tried at while it is proved not to have been sent.
-const ENTRIES_TRIED: usize = 6;
-/// Pause before a once-only request is asked about again, in milliseconds.
-const ASK_AGAIN_MS: u64 = 100;
-/// Times that a once-only request is asked about.
-const ASK_AGAIN_TIMES: usize = 20;
-/// Entries that a caller remembers.
-const KNOWN_MAX: usize = 32;
+/// Maximum number of idle connections to each entry.
+const IDLE_CONNECTIONS_MAX: usize = 512;
+/// Time past the deadline for which a caller waits for an answer, and time after which a request repeats an unfinished
+/// refresh of the cached answer, in milliseconds.
+const DEADLINE_GRACE_MS: u64 = 2_000;
+/// Maximum number of attempts per repeatable request.
+const ATTEMPTS_MAX: usize = 6;
+/// Delay before a once-only request is sent again, in milliseconds.
+const ONCE_RETRY_DELAY_MS: u64 = 100;
+/// Maximum number of attempts per once-only request.
+const ONCE_ATTEMPTS_MAX: usize = 20;
+/// Maximum number of entry addresses that a caller remembers.
+const KNOWN_ADDRESSES_MAX: usize = 32;
 
-/// An entry as an address answer names it.
+/// An entry in an address answer.
 #[derive(Debug, Clone, Deserialize)]
 pub struct NamedEntry {
-    /// Where to connect.
+    /// Address to connect to.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Failure domain of the entry.
     pub failure_domain: String,
-    /// What once-only requests sent to it name as their home.
+    /// Value of the `pinhaven-home` header for once-only requests to this entry.
     pub home: String,
 }
 
-/// An address answer.
+/// Answer that lists the entries to use for a service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct AddressAnswer {
-    /// How long it may be kept, in milliseconds.
+    /// Time for which the answer may be cached, in milliseconds.
     pub keep_ms: u64,
-    /// The entries, nearest first.
+    /// Entries, nearest first.
     pub entries: Vec<NamedEntry>,
 }
 
-struct Kept {
+struct CachedEntries {
     entries: Vec<NamedEntry>,
-    until: Instant,
+    valid_until: Instant,
 }
 
-/// Number of the next caller of this process, so that no two use the same keys.
-static NEXT_CALLER: AtomicU64 = AtomicU64::new(0);
+/// Number of the next caller of this process. Idempotency keys contain the number, so callers don't share keys.
+static NEXT_CALLER_NUMBER: AtomicU64 = AtomicU64::new(0);
 
-/// A caller.
+/// A stand-in caller of one service.
 pub struct Caller {
     settings: CallerSettings,
     name: String,
-    kept: Mutex<Kept>,
-    /// Entries to ask: the first ones and those that answers have named.
-    known: Mutex<Vec<SocketAddr>>,
+    cached: Mutex<CachedEntries>,
+    /// Addresses of entries to resolve the service with: the seeds and the entries of earlier answers.
+    known_addresses: Mutex<Vec<SocketAddr>>,
     clients: Mutex<HashMap<SocketAddr, Arc<HttpClient>>>,
     repeatable: Mutex<Class>,
     once: Mutex<Class>,
-    once_said: Mutex<BTreeMap<String, String>>,
+    once_run_states: Mutex<BTreeMap<String, String>>,
 }
 
 impl Caller {
-    /// A caller that has asked nothing yet.
+    /// Creates a caller that knows only the seeds.
     pub fn new(settings: CallerSettings) -> Arc<Self> {
-        let number = NEXT_CALLER.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_CALLER_NUMBER.fetch_add(1, Ordering::Relaxed);
         Arc::new(Self {
-            known: Mutex::new(settings.seeds.clone()),
+            known_addresses: Mutex::new(settings.seeds.clone()),
             settings,
             name: format!("{}-{number}", std::process::id()),
-            kept: Mutex::new(Kept {
+            cached: Mutex::new(CachedEntries {
                 entries: Vec::new(),
-                until: Instant::now(),
+                valid_until: Instant::now(),
             }),
             clients: Mutex::new(HashMap::new()),
             repeatable: Mutex::new(Class::new()),
             once: Mutex::new(Class::new()),
-            once_said: Mutex::new(BTreeMap::new()),
+            once_run_states: Mutex::new(BTreeMap::new()),
         })
     }
 
-    /// Sends all requests, waits for their ends and reports.
+    /// Sends all requests, waits for their outcomes and returns the report.
     pub async fn run(self: Arc<Self>) -> CallerReport {
         let mut random = fastrand::Rng::with_seed(self.settings.seed);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let duration = Duration::from_millis(self.settings.duration_ms);
         let warm_up = Duration::from_millis(self.settings.warm_up_ms);
         let mut due = Duration::ZERO;
         let mut number: u64 = 0;
-        let mut under_way = Vec::new();
+        let mut pending = Vec::new();
         while due < duration {
-            let gap_s = -(1.0 - random.f64()).ln() / self.settings.rate_per_s;
-            due += Duration::from_secs_f64(gap_s);
-            let due_at = began + due;
+            let interval_s = -(1.0 - random.f64()).ln() / self.settings.rate_per_s;
+            due += Duration::from_secs_f64(interval_s);
+            let due_at = started_at + due;
             if due_at > Instant::now() {
                 async_io::Timer::at(due_at).await;
             }
@@ -128,28 +130,28 @@
             let caller = Arc::clone(&self);
             let request_seed = random.u64(..);
             let is_counted = due >= warm_up;
-            under_way.push(spawn(async move {
+            pending.push(spawn(async move {
                 caller
-                    .one_request(number, is_once, due_at, request_seed, is_counted)
+                    .run_request(number, is_once, due_at, request_seed, is_counted)
                     .await;
             }));
         }
-        for request in under_way {
+        for request in pending {
             request.await;
         }
         self.report()
     }
 
     fn report(&self) -> CallerReport {
-        let take = |class: &Mutex<Class>| std::mem::replace(&mut *class.lock(), Class::new());
+        let take_class = |class: &Mutex<Class>| std::mem::replace(&mut *class.lock(), Class::new());
         CallerReport {
-            repeatable: take(&self.repeatable).into_report(),
-            once: take(&self.once).into_report(),
-            once_said: self.once_said.lock().clone(),
+            repeatable: take_class(&self.repeatable).into_report(),
+            once: take_class(&self.once).into_report(),
+            once_said: self.once_run_states.lock().clone(),
         }
     }
 
-    async fn one_request(
+    async fn run_request(
         &self,
         number: u64,
         is_once: bool,
@@ -180,22 +182,22 @@
         let marker = format!("r{}-{number}", self.name);
         let request = self.request(Method::GET, "/quote", &marker, Bytes::new(), None);
         let mut outcome = Outcome::Unreachable;
-        for _ in 0..ENTRIES_TRIED {
-            let Some(address) = self.pick(random).await.map(|entry| entry.address) else {
+        for _ in 0..ATTEMPTS_MAX {
+            let Some(address) = self.pick_entry(random).await.map(|entry| entry.address) else {
                 return Outcome::Unreachable;
             };
             match self.client(address).call(request.clone()).await {
-                Ok(response) => return judge(&response, &marker, &Bytes::new()),
+                Ok(response) => return classify_response(&response, &marker, &Bytes::new()),
                 Err(error) => {
-                    self.forget(address);
-                    outcome = outcome_of(&error);
+                    self.remove_cached_entry(address);
+                    outcome = outcome_of_error(&error);
                 }
             }
         }
         outcome
     }
 
-    /// Sends a once-only request, and asks about it elsewhere while its outcome is open.
+    /// Sends a once-only request, and sends it again with the same key and home while its outcome is unknown.
     async fn once_request(&self, number: u64, random: &mut fastrand::Rng) -> Outcome {
         let marker = format!("o{}-{number}", self.name);
         let body: Vec<u8> = (0..self.settings.body_bytes)
@@ -204,12 +206,12 @@
         let body = Bytes::from(body);
         let mut home: Option<String> = None;
         let mut outcome = Outcome::Unreachable;
-        for attempt in 0..ASK_AGAIN_TIMES {
-            let Some(entry) = self.pick(random).await else {
-                sleep_ms(ASK_AGAIN_MS).await;
+        for attempt in 0..ONCE_ATTEMPTS_MAX {
+            let Some(entry) = self.pick_entry(random).await else {
+                sleep_ms(ONCE_RETRY_DELAY_MS).await;
                 continue;
             };
-            // A home is chosen once and kept; another one would make it another request.
+            // The home stays the same in all attempts: a different home would make a different request.
             let home = home.get_or_insert(entry.home.clone());
             let named = self.settings.names_home.then_some(home.as_str());
             let mut request = self.request(Method::POST, "/orders", &marker, body.clone(), named);
@@ -218,41 +220,41 @@
                 .insert("pinhaven-sending", (attempt as u32 + 1).into());
             match self.client(entry.address).call(request).await {
                 Ok(response) => {
-                    outcome = judge(&response, &marker, &body);
+                    outcome = classify_response(&response, &marker, &body);
                     let is_in_flight = response.status() == StatusCode::CONFLICT
-                        && text_of(response.headers(), "pinhaven-run") == "unknown";
+                        && header_text(response.headers(), "pinhaven-run") == "unknown";
                     if !is_in_flight {
                         break;
                     }
                 }
                 Err(error) => {
-                    self.forget(entry.address);
+                    self.remove_cached_entry(entry.address);
                     let is_first = attempt == 0 && error.is_not_sent();
                     if is_first {
-                        // Nothing was sent to that home, so another may be chosen.
+                        // The request wasn't sent, so a different home may be chosen.
                         home.clear();
                     }
-                    outcome = outcome_of(&error);
+                    outcome = outcome_of_error(&error);
                 }
             }
             if home.is_empty() {
                 return Box::pin(self.once_request(number, random)).await;
             }
-            sleep_ms(ASK_AGAIN_MS).await;
+            sleep_ms(ONCE_RETRY_DELAY_MS).await;
         }
-        self.note_once(&marker, &outcome);
+        self.record_run_state(&marker, &outcome);
         outcome
     }
 
-    fn note_once(&self, key: &str, outcome: &Outcome) {
-        let said = match outcome {
+    fn record_run_state(&self, key: &str, outcome: &Outcome) {
+        let run_state = match outcome {
             Outcome::Answered | Outcome::Wrong => "run",
             Outcome::Refused { run, .. } => run,
             Outcome::Unreachable | Outcome::Cut | Outcome::Silent => "unknown",
         };
-        self.once_said
+        self.once_run_states
             .lock()
-            .insert(key.to_owned(), said.to_owned());
+            .insert(key.to_owned(), run_state.to_owned());
     }
 
     fn request(
@@ -280,8 +282,8 @@
             .unwrap_or_else(|_| unreachable!("the parts are valid"))
     }
 
-    /// An entry to use: any of those that the kept answer names.
-    async fn pick(&self, random: &mut fastrand::Rng) -> Option<NamedEntry> {
+    /// Picks a random entry of the cached answer, or a random direct target.
+    async fn pick_entry(&self, random: &mut fastrand::Rng) -> Option<NamedEntry> {
         if !self.settings.direct.is_empty() {
             let index = random.usize(..self.settings.direct.len());
             return Some(NamedEntry {
@@ -290,50 +292,50 @@
                 home: String::new(),
             });
         }
-        self.renew_answer(random).await;
-        let kept = self.kept.lock();
-        if kept.entries.is_empty() {
+        self.refresh_cached_entries(random).await;
+        let cached = self.cached.lock();
+        if cached.entries.is_empty() {
             return None;
         }
-        let index = random.usize(..kept.entries.len());
-        Some(kept.entries[index].clone())
+        let index = random.usize(..cached.entries.len());
+        Some(cached.entries[index].clone())
     }
 
-    async fn renew_answer(&self, random: &mut fastrand::Rng) {
+    async fn refresh_cached_entries(&self, random: &mut fastrand::Rng) {
         {
-            let mut kept = self.kept.lock();
-            if Instant::now() < kept.until && !kept.entries.is_empty() {
+            let mut cached = self.cached.lock();
+            if Instant::now() < cached.valid_until && !cached.entries.is_empty() {
                 return;
             }
-            // Others use the old answer while this one asks.
-            kept.until = Instant::now() + Duration::from_millis(PATIENCE_MS);
+            // Concurrent requests use the old answer during the refresh.
+            cached.valid_until = Instant::now() + Duration::from_millis(DEADLINE_GRACE_MS);
         }
-        let mut known = self.known.lock().clone();
-        random.shuffle(&mut known);
-        for entry in known {
+        let mut known_addresses = self.known_addresses.lock().clone();
+        random.shuffle(&mut known_addresses);
+        for entry in known_addresses {
             if let Some(answer) = self.fetch_entries(entry).await {
-                self.learn(&answer);
+                self.add_known_addresses(&answer);
                 let keep = Duration::from_millis(answer.keep_ms);
-                *self.kept.lock() = Kept {
+                *self.cached.lock() = CachedEntries {
                     entries: answer.entries,
-                    until: Instant::now() + keep,
+                    valid_until: Instant::now() + keep,
                 };
                 return;
             }
         }
     }
 
-    /// Remembers entries for later questions, the newest first and not too many.
-    fn learn(&self, answer: &AddressAnswer) {
-        let mut known = self.known.lock();
+    /// Adds the answer's entries at the front of the known addresses and drops the oldest above the maximum.
+    fn add_known_addresses(&self, answer: &AddressAnswer) {
+        let mut known_addresses = self.known_addresses.lock();
         for entry in &answer.entries {
-            known.retain(|address| *address != entry.address);
-            known.insert(0, entry.address);
+            known_addresses.retain(|address| *address != entry.address);
+            known_addresses.insert(0, entry.address);
         }
-        known.truncate(KNOWN_MAX);
+        known_addresses.truncate(KNOWN_ADDRESSES_MAX);
     }
 
-    /// Asks an entry which entries to use.
+    /// Fetches the entries to use for the service from `entry`.
     pub async fn fetch_entries(&self, entry: SocketAddr) -> Option<AddressAnswer> {
         let uri = format!(
             "/.well-known/pinhaven/entries?service={}&domain={}",
@@ -344,40 +346,40 @@
         serde_json::from_slice(response.body()).ok()
     }
 
-    /// Stops using an entry that could not be reached, until the next answer.
-    fn forget(&self, address: SocketAddr) {
-        let mut kept = self.kept.lock();
-        kept.entries.retain(|entry| entry.address != address);
-        if kept.entries.is_empty() {
-            kept.until = Instant::now();
+    /// Removes an entry from the cached answer after a failed call. If no entry is left, the answer expires.
+    fn remove_cached_entry(&self, address: SocketAddr) {
+        let mut cached = self.cached.lock();
+        cached.entries.retain(|entry| entry.address != address);
+        if cached.entries.is_empty() {
+            cached.valid_until = Instant::now();
         }
     }
 
     fn client(&self, address: SocketAddr) -> Arc<HttpClient> {
         let mut clients = self.clients.lock();
         let client = clients.entry(address).or_insert_with(|| {
-            let client = HttpClient::new(address, self.settings.deadline_ms + PATIENCE_MS);
-            Arc::new(client.with_idle_connections(IDLE_CONNECTIONS))
+            let client = HttpClient::new(address, self.settings.deadline_ms + DEADLINE_GRACE_MS);
+            Arc::new(client.with_idle_connections(IDLE_CONNECTIONS_MAX))
         });
         Arc::clone(client)
     }
 }
 
-fn text_of<'head>(headers: &'head HeaderMap, name: &str) -> &'head str {
+fn header_text<'head>(headers: &'head HeaderMap, name: &str) -> &'head str {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or_default()
 }
 
-/// Whether an answer is whole and belongs to the request, or what refusal it is.
-fn judge(response: &Response<Bytes>, marker: &str, body: &Bytes) -> Outcome {
+/// Classifies a response: the complete answer to the request, a wrong answer or a refusal.
+fn classify_response(response: &Response<Bytes>, marker: &str, body: &Bytes) -> Outcome {
     use sha2::Digest as _;
     let headers = response.headers();
-    if text_of(headers, "content-type") == "application/problem+json" {
+    if header_text(headers, "content-type") == "application/problem+json" {
         let problem: serde_json::Value =
             serde_json::from_slice(response.body()).unwrap_or_default();
         return Outcome::Refused {
             reason: problem["title"].as_str().unwrap_or("none").to_owned(),
-            run: text_of(headers, "pinhaven-run").to_owned(),
+            run: header_text(headers, "pinhaven-run").to_owned(),
             has_retry_after: headers.contains_key("retry-after"),
         };
     }
@@ -385,7 +387,7 @@
         let status = response.status().as_u16();
         return Outcome::Refused {
             reason: format!("target_{status}"),
-            run: text_of(headers, "pinhaven-run").to_owned(),
+            run: header_text(headers, "pinhaven-run").to_owned(),
             has_retry_after: true,
         };
     }
@@ -398,7 +400,7 @@
     }
 }
 
-fn outcome_of(error: &CallError) -> Outcome {
+fn outcome_of_error(error: &CallError) -> Outcome {
     match error.step {
         CallStep::Connect => Outcome::Unreachable,
         CallStep::Receive => Outcome::Cut,
--- a/crates/pinhaven-stand-in/src/caller/report.rs
+++ b/crates/pinhaven-stand-in/src/caller/report.rs
@@ -1,4 +1,4 @@
-//! What a stand-in caller saw.
+//! Request statistics of a stand-in caller.
 
 use hdrhistogram::Histogram;
 use serde::Deserialize;
@@ -6,77 +6,78 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The longest latency that is told apart, in microseconds.
+/// Upper bound of the latency histogram, in microseconds; longer latencies are recorded as this value.
 const LATENCY_US_MAX: u64 = 60_000_000;
 
-/// How a request ended for its caller.
+/// Outcome of a request, as its caller observed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer of its own.
+    /// The complete answer to this request.
     Answered,
-    /// Refused, with the reason and whether it ran.
+    /// A refusal or an error status, with its reason and whether the request was executed.
     Refused {
-        /// The reason's name.
+        /// Title of the problem answer, or `target_` and the status of an answer without one.
         reason: String,
-        /// `run`, `not-run` or `unknown`.
+        /// Value of the `pinhaven-run` header: `run`, `not-run` or `unknown`; empty if the header is missing.
         run: String,
-        /// Whether it was told when to come back.
+        /// Whether the answer has a `retry-after` header; always set for an answer that isn't a problem answer.
         has_retry_after: bool,
     },
-    /// An answer that was cut, seen to be cut.
+    /// The connection failed while the answer was received, so the truncation was detected.
     Cut,
-    /// An answer that belonged to another request, or was not whole but looked so.
+    /// An answer to another request, or an incomplete answer whose truncation was not detected.
     Wrong,
-    /// No entry could be reached.
+    /// No entry was known, or the last connection attempt failed.
     Unreachable,
-    /// No answer at all.
+    /// Sending failed, or no answer arrived in time.
     Silent,
 }
 
-/// What became of the requests of one kind.
+/// Statistics of one class of requests.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct ClassReport {
-    /// Requests sent.
+    /// Number of requests.
     pub sent: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: u64,
-    /// Whole answers before the deadline.
+    /// Complete answers within the deadline.
     pub in_time: u64,
-    /// Refusals by reason and run state.
+    /// Number of refusals by `reason/run`.
     pub refused: BTreeMap<String, u64>,
-    /// Refusals that did not say when to come back.
+    /// Refusals without a `retry-after` header.
     pub without_retry_after: u64,
-    /// Answers seen to be cut.
+    /// Answers whose truncation was detected.
     pub cut: u64,
-    /// Answers that were another's, or cut without a sign.
+    /// Answers to another request, or truncated without detection.
     pub wrong: u64,
-    /// Requests that found no entry.
+    /// Requests without a known entry, or whose last connection attempt failed.
     pub unreachable: u64,
-    /// Requests that got no answer at all.
+    /// Requests whose sending failed or that got no answer in time.
     pub silent: u64,
-    /// Median latency of answers, in milliseconds.
+    /// Median latency of complete answers, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile, in milliseconds.
+    /// 99th percentile of the latency of complete answers, in milliseconds.
     pub p99_ms: f64,
-    /// 99.9th percentile, in milliseconds.
+    /// 99.9th percentile of the latency of complete answers, in milliseconds.
     pub p999_ms: f64,
-    /// The longest time to a refusal, in milliseconds.
+    /// Maximum latency of a refusal, in milliseconds.
     pub refusal_most_ms: f64,
 }
 
-/// What became of all requests.
+/// Statistics of all requests of a caller.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct CallerReport {
-    /// Those that may be repeated.
+    /// Statistics of repeatable requests.
     pub repeatable: ClassReport,
-    /// Those that may not.
+    /// Statistics of once-only requests.
     pub once: ClassReport,
-    /// What was said of each once-only request, by key: `run`, `not-run` or `unknown`.
+    /// Reported execution of each once-only request, by idempotency key: `run`, `not-run` or `unknown`;
+    /// empty if the last answer has no `pinhaven-run` header.
     pub once_said: BTreeMap<String, String>,
 }
 
 impl CallerReport {
-    /// Whether every answer was whole and its caller's own.
+    /// Whether no answer was wrong: no answer to another request and no undetected truncation.
     pub fn is_clean(&self) -> bool {
         [&self.repeatable, &self.once]
             .iter()
@@ -87,7 +88,7 @@
 pub(super) struct Class {
     report: ClassReport,
     latency: Histogram<u64>,
-    refusal_most: Duration,
+    refusal_time_max: Duration,
 }
 
 impl Class {
@@ -96,7 +97,7 @@
         Self {
             report: ClassReport::default(),
             latency: latency.unwrap_or_else(|_| unreachable!("the bounds are constants")),
-            refusal_most: Duration::ZERO,
+            refusal_time_max: Duration::ZERO,
         }
     }
 
@@ -117,7 +118,7 @@
             } => {
                 *report.refused.entry(format!("{reason}/{run}")).or_default() += 1;
                 report.without_retry_after += u64::from(!has_retry_after);
-                self.refusal_most = self.refusal_most.max(latency);
+                self.refusal_time_max = self.refusal_time_max.max(latency);
             }
             Outcome::Cut => report.cut += 1,
             Outcome::Wrong => report.wrong += 1,
@@ -127,12 +128,12 @@
     }
 
     pub(super) fn into_report(self) -> ClassReport {
-        let at = |quantile| self.latency.value_at_quantile(quantile) as f64 / 1_000.0;
+        let quantile_ms = |quantile| self.latency.value_at_quantile(quantile) as f64 / 1_000.0;
         ClassReport {
-            p50_ms: at(0.5),
-            p99_ms: at(0.99),
-            p999_ms: at(0.999),
-            refusal_most_ms: self.refusal_most.as_secs_f64() * 1_000.0,
+            p50_ms: quantile_ms(0.5),
+            p99_ms: quantile_ms(0.99),
+            p999_ms: quantile_ms(0.999),
+            refusal_most_ms: self.refusal_time_max.as_secs_f64() * 1_000.0,
             ..self.report
         }
     }
--- a/crates/pinhaven-stand-in/src/caller/settings.rs
+++ b/crates/pinhaven-stand-in/src/caller/settings.rs
@@ -1,13 +1,13 @@
-//! How a stand-in caller behaves.
+//! Settings of a stand-in caller.
 
 use std::net::SocketAddr;
 
-/// What a caller does.
+/// Settings of a caller.
 #[derive(Debug, Clone)]
 pub struct CallerSettings {
-    /// Entries to ask first.
+    /// Addresses of the entries that the caller resolves the service with at first.
     pub seeds: Vec<SocketAddr>,
-    /// Targets to call without an entry; entries are used when it is empty.
+    /// Addresses of targets to call without an entry; if empty, requests go through entries.
     pub direct: Vec<SocketAddr>,
     /// Name of the service.
     pub service: String,
@@ -15,26 +15,26 @@
     pub host: String,
     /// Failure domain of the caller.
     pub domain: String,
-    /// Requests a second.
+    /// Mean request rate, in requests per second.
     pub rate_per_s: f64,
-    /// Time during which requests are sent, in milliseconds.
+    /// Duration of the sending phase, in milliseconds.
     pub duration_ms: u64,
-    /// Time at the start whose requests are not counted, in milliseconds.
+    /// Initial period whose requests are excluded from the report, in milliseconds.
     pub warm_up_ms: u64,
-    /// Share of requests that may not be repeated, in percent.
+    /// Share of once-only requests, in percent.
     pub once_percent: u8,
-    /// Whether once-only requests name a home.
+    /// Whether once-only requests carry the `pinhaven-home` header.
     pub names_home: bool,
     /// Deadline of each request, in milliseconds.
     pub deadline_ms: u64,
-    /// Bytes in the body of a once-only request.
+    /// Size of the body of a once-only request, in bytes.
     pub body_bytes: usize,
-    /// Seed of its randomness.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
 impl CallerSettings {
-    /// A caller of a service that sends `rate_per_s` for `duration_ms`.
+    /// Settings of a caller that sends `rate_per_s` requests per second to `service` for `duration_ms`.
     pub fn new(seeds: Vec<SocketAddr>, service: &str, rate_per_s: f64, duration_ms: u64) -> Self {
         Self {
             seeds,
--- a/crates/pinhaven-stand-in/src/lib.rs
+++ b/crates/pinhaven-stand-in/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for what pinhaven meets: targets, the platform and callers.
+//! Test doubles for the systems around pinhaven: targets, the platform, callers and a fault-injecting proxy.
 //!
-//! They speak the published protocols and can be told to misbehave. None of them is in the shipped
-//! binary.
+//! The target, platform and caller stand-ins use the published protocols. Targets and the platform inject faults that
+//! `PUT /faults` configures. This crate is not part of the shipped binary.
 
 pub mod caller;
 pub mod platform;
@@ -16,14 +16,14 @@
 use pinhaven_runtime::AnyBody;
 use pinhaven_runtime::whole_body;
 
-/// An answer with a status and a body.
+/// Builds a response with a status and a whole body.
 fn answer(status: StatusCode, body: impl Into<Bytes>) -> Response<AnyBody> {
     let mut response = Response::new(whole_body(body));
     *response.status_mut() = status;
     response
 }
 
-/// An answer with a value as JSON.
+/// Builds a response with `value` as its JSON body.
 fn json_answer(value: &impl serde::Serialize) -> Response<AnyBody> {
     match serde_json::to_vec(value) {
         Ok(bytes) => answer(StatusCode::OK, bytes),
@@ -31,7 +31,7 @@
     }
 }
 
-/// The whole body of a request; `None` when the sender broke off.
+/// Reads the whole body of a request; `None` if the sender aborted it.
 async fn read_body(body: Incoming) -> Option<Bytes> {
     Some(body.collect().await.ok()?.to_bytes())
 }
--- a/crates/pinhaven-stand-in/src/main.rs
+++ b/crates/pinhaven-stand-in/src/main.rs
@@ -1,6 +1,6 @@
-//! Runs stand-ins as processes of their own.
+//! Runs stand-ins of the platform or of targets in a separate process.
 //!
-//! The first line on the standard output is a JSON list of the addresses that they listen at.
+//! The first line on standard output is a JSON list of the stand-ins' listening addresses.
 
 use clap::Parser;
 use clap::Subcommand;
@@ -11,12 +11,12 @@
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
 
-/// Threads of a stand-in process.
+/// Number of worker threads.
 const THREADS: usize = 2;
-/// Any free port of the loopback interface.
-const ANY: (Ipv4Addr, u16) = (Ipv4Addr::LOCALHOST, 0);
+/// Loopback address with a port that the system assigns.
+const ANY_LOOPBACK_PORT: (Ipv4Addr, u16) = (Ipv4Addr::LOCALHOST, 0);
 
-/// Stand-ins for what pinhaven meets.
+/// Stand-ins for the systems around pinhaven.
 #[derive(Debug, Parser)]
 struct Cli {
     #[command(subcommand)]
@@ -27,28 +27,28 @@
 enum Command {
     /// A table service and object store.
     Platform {
-        /// Where to listen.
+        /// Listening address; an unused loopback port by default.
         #[arg(long)]
         address: Option<SocketAddr>,
     },
-    /// Targets of one service.
+    /// Targets of one service, each with its own listening address.
     Targets {
-        /// How many.
+        /// Number of targets.
         #[arg(long, default_value_t = 3)]
         count: u64,
-        /// Requests that each works on at a time.
+        /// Number of requests that each target processes concurrently.
         #[arg(long, default_value_t = 6)]
         slots: usize,
-        /// Mean time of a request, in milliseconds.
+        /// Mean service time of a request, in milliseconds.
         #[arg(long, default_value_t = 20.0)]
         mean_ms: f64,
-        /// Spread of the log-normal service time.
+        /// Standard deviation of the service time's logarithm.
         #[arg(long, default_value_t = 0.8)]
         sigma: f64,
-        /// Time of a probe, in milliseconds.
+        /// Service time of a probe, in milliseconds.
         #[arg(long, default_value_t = 6.0)]
         probe_ms: f64,
-        /// Seed of their randomness.
+        /// Seed from which the targets' random seeds are derived.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
@@ -58,7 +58,7 @@
     let cli = Cli::parse();
     let addresses = match cli.command {
         Command::Platform { address } => {
-            vec![Platform::start(address.unwrap_or(ANY.into()), 1)?.address()]
+            vec![Platform::start(address.unwrap_or(ANY_LOOPBACK_PORT.into()), 1)?.address()]
         }
         Command::Targets {
             count,
@@ -77,7 +77,7 @@
                     probe_ms,
                     seed: seed.wrapping_mul(1_000).wrapping_add(number),
                 };
-                addresses.push(RunningTarget::start(ANY.into(), settings)?.address());
+                addresses.push(RunningTarget::start(ANY_LOOPBACK_PORT.into(), settings)?.address());
             }
             addresses
         }
--- a/crates/pinhaven-stand-in/src/platform.rs
+++ b/crates/pinhaven-stand-in/src/platform.rs
@@ -1,7 +1,7 @@
-//! A stand-in of the platform's table service and object store, in memory.
+//! An in-memory stand-in of the platform's table service and object store.
 //!
-//! `PUT /faults` sets what goes wrong: outages of either service, slowness, and answers that are lost
-//! after a write took effect.
+//! `PUT /faults` configures the injected faults: outages of either service, delays, calls that hang, and writes that
+//! take effect but whose answer is lost. `GET /counts` returns the number of reads and writes.
 
 use crate::answer;
 use crate::json_answer;
@@ -27,36 +27,36 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How long a lost answer holds its caller, in milliseconds.
-const LOST_ANSWER_MS: u64 = 60_000;
+/// Time for which a hanging call or a call with a lost answer stays open, in milliseconds.
+const HANG_MS: u64 = 60_000;
 
-/// What goes wrong at the platform.
+/// Faults injected by the platform.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlatformFaults {
-    /// The table service answers 503.
+    /// Whether the table service answers 503.
     pub table_down: bool,
-    /// The object store answers 503.
+    /// Whether the object store answers 503.
     pub object_down: bool,
-    /// Each answer takes this much longer, in milliseconds.
+    /// Delay added to each call, in milliseconds.
     pub delay_ms: u64,
-    /// Share of writes that take effect and whose answer is lost, in percent.
+    /// Share of writes that take effect but whose answer is lost, in percent.
     pub lost_answer_percent: u8,
-    /// Share of calls that hang without effect, in percent.
+    /// Share of calls that hang without taking effect, in percent.
     pub hang_percent: u8,
 }
 
-/// What has been asked of the platform.
+/// Number of calls that the platform received.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct PlatformCounts {
-    /// Rows and objects read, and listings.
+    /// Reads of rows and objects, and listings.
     pub reads: u64,
-    /// Rows and objects written, or tried to.
+    /// Writes of rows and objects, including failed writes.
     pub writes: u64,
 }
 
 #[derive(Default)]
-struct Stored {
+struct PlatformState {
     rows: BTreeMap<String, (u64, Bytes)>,
     objects: BTreeMap<String, Bytes>,
     next_version: u64,
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// The system's error when the address can't be had.
+    /// Returns the system's error if binding to the address fails.
     pub fn start(address: SocketAddr, seed: u64) -> std::io::Result<Self> {
         let settings = HttpServerSettings {
             idle_ms: 300_000,
@@ -91,34 +91,34 @@
         };
         let server = HttpServer::bind(address, settings)?;
         let address = server.local_address();
-        let stored = Arc::new(Mutex::new(Stored {
+        let state = Arc::new(Mutex::new(PlatformState {
             random: fastrand::Rng::with_seed(seed),
-            ..Stored::default()
+            ..PlatformState::default()
         }));
         spawn(async move {
-            let handler = move |request| handle(Arc::clone(&stored), request);
+            let handler = move |request| handle(Arc::clone(&state), request);
             server.serve(handler).await;
         })
         .detach();
         Ok(Self { address })
     }
 
-    /// Where it listens.
+    /// Listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// How a call goes wrong.
+/// Fault injected into one call.
 #[derive(PartialEq, Eq)]
-enum Fate {
-    Served,
-    Refused,
-    Hangs,
-    AnswerLost,
+enum CallFault {
+    NoFault,
+    Unavailable,
+    Hang,
+    LostAnswer,
 }
 
-async fn handle(stored: Arc<Mutex<Stored>>, request: Request<Incoming>) -> Response<AnyBody> {
+async fn handle(state: Arc<Mutex<PlatformState>>, request: Request<Incoming>) -> Response<AnyBody> {
     let (head, body) = request.into_parts();
     let Some(body) = read_body(body).await else {
         return answer(StatusCode::BAD_REQUEST, "the body was cut");
@@ -127,38 +127,38 @@
     let Some((root, key)) = path[1..].split_once('/').or(Some((&path[1..], ""))) else {
         return answer(StatusCode::NOT_FOUND, "");
     };
-    if let Some(response) = control(&stored, root, &head.method, &body) {
+    if let Some(response) = handle_control(&state, root, &head.method, &body) {
         return response;
     }
     let is_write = head.method == Method::PUT;
-    let (fate, delay_ms) = draw_fate(&mut stored.lock(), root, is_write);
+    let (fault, delay_ms) = draw_fault(&mut state.lock(), root, is_write);
     if delay_ms > 0 {
         sleep_ms(delay_ms).await;
     }
-    match fate {
-        Fate::Refused => return answer(StatusCode::SERVICE_UNAVAILABLE, "outage"),
-        Fate::Hangs => {
-            sleep_ms(LOST_ANSWER_MS).await;
+    match fault {
+        CallFault::Unavailable => return answer(StatusCode::SERVICE_UNAVAILABLE, "outage"),
+        CallFault::Hang => {
+            sleep_ms(HANG_MS).await;
             return answer(StatusCode::SERVICE_UNAVAILABLE, "outage");
         }
-        Fate::Served | Fate::AnswerLost => {}
+        CallFault::NoFault | CallFault::LostAnswer => {}
     }
     let response = match (root, is_write) {
-        ("table", false) => read_row(&stored.lock(), key),
-        ("table", true) => write_row(&mut stored.lock(), key, &head.headers, body),
-        ("list", false) => list_rows(&stored.lock(), key),
-        ("objects", false) => read_object(&stored.lock(), key),
-        ("objects", true) => write_object(&mut stored.lock(), key, body),
+        ("table", false) => read_row(&state.lock(), key),
+        ("table", true) => write_row(&mut state.lock(), key, &head.headers, body),
+        ("list", false) => list_rows(&state.lock(), key),
+        ("objects", false) => read_object(&state.lock(), key),
+        ("objects", true) => write_object(&mut state.lock(), key, body),
         _ => answer(StatusCode::NOT_FOUND, ""),
     };
-    if fate == Fate::AnswerLost {
-        sleep_ms(LOST_ANSWER_MS).await;
+    if fault == CallFault::LostAnswer {
+        sleep_ms(HANG_MS).await;
     }
     response
 }
 
-fn control(
-    stored: &Mutex<Stored>,
+fn handle_control(
+    state: &Mutex<PlatformState>,
     root: &str,
     method: &Method,
     body: &[u8],
@@ -166,48 +166,48 @@
     match (root, method) {
         ("faults", &Method::PUT) => match serde_json::from_slice(body) {
             Ok(faults) => {
-                stored.lock().faults = faults;
+                state.lock().faults = faults;
                 Some(answer(StatusCode::OK, ""))
             }
             Err(error) => Some(answer(StatusCode::BAD_REQUEST, error.to_string())),
         },
-        ("counts", &Method::GET) => Some(json_answer(&stored.lock().counts)),
+        ("counts", &Method::GET) => Some(json_answer(&state.lock().counts)),
         _ => None,
     }
 }
 
-fn draw_fate(stored: &mut Stored, root: &str, is_write: bool) -> (Fate, u64) {
+fn draw_fault(state: &mut PlatformState, root: &str, is_write: bool) -> (CallFault, u64) {
     if is_write {
-        stored.counts.writes += 1;
+        state.counts.writes += 1;
     } else {
-        stored.counts.reads += 1;
+        state.counts.reads += 1;
     }
-    let faults = stored.faults.clone();
+    let faults = state.faults.clone();
     let is_down = if root == "objects" {
         faults.object_down
     } else {
         faults.table_down
     };
-    let fate = if is_down {
-        Fate::Refused
-    } else if stored.random.u8(0..100) < faults.hang_percent {
-        Fate::Hangs
-    } else if is_write && stored.random.u8(0..100) < faults.lost_answer_percent {
-        Fate::AnswerLost
+    let fault = if is_down {
+        CallFault::Unavailable
+    } else if state.random.u8(0..100) < faults.hang_percent {
+        CallFault::Hang
+    } else if is_write && state.random.u8(0..100) < faults.lost_answer_percent {
+        CallFault::LostAnswer
     } else {
-        Fate::Served
+        CallFault::NoFault
     };
-    (fate, faults.delay_ms)
+    (fault, faults.delay_ms)
 }
 
-fn read_row(stored: &Stored, key: &str) -> Response<AnyBody> {
-    match stored.rows.get(key) {
+fn read_row(state: &PlatformState, key: &str) -> Response<AnyBody> {
+    match state.rows.get(key) {
         None => answer(StatusCode::NOT_FOUND, ""),
-        Some((version, value)) => tagged(*version, value.clone()),
+        Some((version, value)) => row_response(*version, value.clone()),
     }
 }
 
-fn tagged(version: u64, value: Bytes) -> Response<AnyBody> {
+fn row_response(version: u64, value: Bytes) -> Response<AnyBody> {
     let mut response = answer(StatusCode::OK, value);
     if let Ok(tag) = format!("\"{version}\"").parse() {
         response.headers_mut().insert(ETAG, tag);
@@ -216,34 +216,34 @@
 }
 
 fn write_row(
-    stored: &mut Stored,
+    state: &mut PlatformState,
     key: &str,
     headers: &http::HeaderMap,
     value: Bytes,
 ) -> Response<AnyBody> {
-    let held = stored
+    let current_tag = state
         .rows
         .get(key)
         .map(|(version, _)| format!("\"{version}\""));
-    let wanted = headers.get(IF_MATCH).and_then(|tag| tag.to_str().ok());
+    let expected_tag = headers.get(IF_MATCH).and_then(|tag| tag.to_str().ok());
     let must_be_absent = headers.contains_key(IF_NONE_MATCH);
-    let holds = match (wanted, held) {
-        (Some(wanted), Some(held)) => wanted == held,
+    let is_condition_met = match (expected_tag, current_tag) {
+        (Some(expected_tag), Some(current_tag)) => expected_tag == current_tag,
         (Some(_), None) => false,
         (None, Some(_)) => !must_be_absent,
         (None, None) => true,
     };
-    if !holds {
+    if !is_condition_met {
         return answer(StatusCode::PRECONDITION_FAILED, "");
     }
-    stored.next_version += 1;
-    let version = stored.next_version;
-    stored.rows.insert(key.to_owned(), (version, value));
-    tagged(version, Bytes::new())
+    state.next_version += 1;
+    let version = state.next_version;
+    state.rows.insert(key.to_owned(), (version, value));
+    row_response(version, Bytes::new())
 }
 
-fn list_rows(stored: &Stored, prefix: &str) -> Response<AnyBody> {
-    let rows: Vec<ListedRow<'_>> = stored
+fn list_rows(state: &PlatformState, prefix: &str) -> Response<AnyBody> {
+    let rows: Vec<ListedRow<'_>> = state
         .rows
         .range(prefix.to_owned()..)
         .take_while(|(key, _)| key.starts_with(prefix))
@@ -256,17 +256,17 @@
     json_answer(&rows)
 }
 
-fn read_object(stored: &Stored, key: &str) -> Response<AnyBody> {
-    match stored.objects.get(key) {
+fn read_object(state: &PlatformState, key: &str) -> Response<AnyBody> {
+    match state.objects.get(key) {
         None => answer(StatusCode::NOT_FOUND, ""),
         Some(bytes) => answer(StatusCode::OK, bytes.clone()),
     }
 }
 
-fn write_object(stored: &mut Stored, key: &str, bytes: Bytes) -> Response<AnyBody> {
-    if stored.objects.contains_key(key) {
+fn write_object(state: &mut PlatformState, key: &str, bytes: Bytes) -> Response<AnyBody> {
+    if state.objects.contains_key(key) {
         return answer(StatusCode::PRECONDITION_FAILED, "");
     }
-    stored.objects.insert(key.to_owned(), bytes);
+    state.objects.insert(key.to_owned(), bytes);
     answer(StatusCode::CREATED, "")
 }
--- a/crates/pinhaven-stand-in/src/proxy.rs
+++ b/crates/pinhaven-stand-in/src/proxy.rs
@@ -1,7 +1,8 @@
-//! A loopback proxy that harms the connections that go through it.
+//! A loopback TCP proxy that injects faults into its connections.
 //!
-//! What was swallowed on a connection is lost: that direction stays silent for good, as after a cut that
-//! never heals for connections which were open then, while new ones work.
+//! Once a direction of a connection has discarded bytes, it stays silent until the connection ends, even if the fault
+//! is cleared. For the connections open at that time, the fault acts as a network partition that never heals; new
+//! connections work. While the server's address refuses connections, the proxy's address refuses them too.
 
 use parking_lot::Mutex;
 use socket2::SockRef;
@@ -16,26 +17,26 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Bytes that are read at a time.
-const PIECE_BYTES: usize = 16 * 1024;
-/// How often a quiet connection looks whether it shall be reset.
-const LOOK: Duration = Duration::from_millis(20);
+/// Size of the read buffer, in bytes.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Interval at which an idle connection checks for a reset and a closed proxy checks for the server.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What happens to connections.
+/// Fault injected into the connections of a proxy.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Each piece arrives this much later.
+    /// Delays each chunk by this time.
     Delayed(Duration),
-    /// Each connection carries this many bytes a second either way.
+    /// Limits each direction of a connection to this many bytes per second.
     Throttled(u32),
-    /// Nothing arrives at the server.
+    /// Discards all bytes to the server.
     SilentToServer,
-    /// Nothing arrives at the client.
+    /// Discards all bytes to the client.
     SilentToClient,
-    /// Open connections are reset, and new ones at once.
+    /// Resets open connections, and new connections as soon as they open.
     Reset,
 }
 
@@ -45,32 +46,32 @@
     ToClient,
 }
 
-/// A running proxy.
+/// A running fault-injecting proxy.
 #[derive(Debug, Clone)]
 pub struct FaultProxy {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     state: Arc<ProxyState>,
 }
 
-/// What the connections of a proxy look at.
+/// State shared by the connections of a proxy.
 #[derive(Debug)]
 struct ProxyState {
-    /// Where the server listens.
+    /// Address of the server.
     server: SocketAddr,
-    /// Where the proxy listens, while the server can be reached.
+    /// Listening socket of the proxy; `None` while the server is unreachable.
     listener: Mutex<Option<TcpListener>>,
     fault: Mutex<LinkFault>,
-    /// How often all open connections were silenced.
-    silenced: AtomicU64,
+    /// Number of calls of [`FaultProxy::silence_open`].
+    silence_count: AtomicU64,
 }
 
 impl FaultProxy {
-    /// Starts a proxy before a server; it runs until the process ends.
+    /// Starts a proxy in front of a server. The proxy runs until the process exits.
     ///
     /// # Errors
     ///
-    /// The system's error when no address can be had.
+    /// Returns the system's error if binding to a loopback port fails.
     pub fn start(server: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let proxy = Self {
@@ -79,7 +80,7 @@
                 server,
                 listener: Mutex::new(Some(listener.try_clone()?)),
                 fault: Mutex::default(),
-                silenced: AtomicU64::new(0),
+                silence_count: AtomicU64::new(0),
             }),
         };
         let state = Arc::clone(&proxy.state);
@@ -87,58 +88,58 @@
         Ok(proxy)
     }
 
-    /// Sets what happens to connections from now on.
+    /// Sets the fault for open and new connections.
     pub fn set_fault(&self, fault: LinkFault) {
         *self.state.fault.lock() = fault;
     }
 
-    /// Nothing more arrives either way on the connections that are open now; new ones work.
+    /// Discards all further bytes in both directions of the open connections. New connections work.
     pub fn silence_open(&self) {
-        self.state.silenced.fetch_add(1, Ordering::Relaxed);
+        self.state.silence_count.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 impl ProxyState {
-    /// Stops listening if nobody listens at the server's address any more. Who sees a connection of a crashed server
-    /// break and connects again at once is refused, as by the server's own machine.
-    fn close_if_server_is_gone(&self) {
+    /// Stops listening if the server's address refuses connections. A client that reconnects at once after a crash of
+    /// the server is then refused, as it would be without the proxy.
+    fn close_if_server_is_unreachable(&self) {
         if TcpStream::connect(self.server).is_ok() {
             return;
         }
         if let Some(listener) = self.listener.lock().take() {
-            // One that is closed already needs no more.
+            // The shutdown fails if the listener is already closed.
             let _ = SockRef::from(&listener).shutdown(Shutdown::Both);
         }
     }
 }
 
-/// Serves for ever. While nobody listens at the server's address, nobody does at the proxy's.
+/// Accepts connections while the server is reachable, and listens again when the server returns.
 fn serve(mut listener: TcpListener, state: &Arc<ProxyState>) {
     let Ok(address) = listener.local_addr() else {
         return;
     };
     loop {
-        serve_while_up(&listener, state);
+        serve_until_unreachable(&listener, state);
         drop(listener);
         while TcpStream::connect(state.server).is_err() {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         listener = match TcpListener::bind(address) {
             Ok(listener) => listener,
-            // Another process has the address by now; the proxy's place is lost.
+            // Another process has taken the address, so the proxy can't listen again.
             Err(_) => return,
         };
         *state.listener.lock() = listener.try_clone().ok();
     }
 }
 
-/// Serves until the server can't be reached, which shows as a reset.
-fn serve_while_up(listener: &TcpListener, state: &Arc<ProxyState>) {
+/// Accepts connections until the server is unreachable; the client of the failed connection sees a reset.
+fn serve_until_unreachable(listener: &TcpListener, state: &Arc<ProxyState>) {
     while let Ok((client, _)) = listener.accept() {
         match TcpStream::connect(state.server) {
             Ok(server) => connect(client, server, state),
             Err(_) => {
-                state.close_if_server_is_gone();
+                state.close_if_server_is_unreachable();
                 return reset(&client);
             }
         }
@@ -146,31 +147,31 @@
 }
 
 fn connect(client: TcpStream, server: TcpStream, state: &Arc<ProxyState>) {
-    let ways = [
+    let directions = [
         (client.try_clone(), server.try_clone(), Direction::ToServer),
         (server.try_clone(), client.try_clone(), Direction::ToClient),
     ];
-    for (from, to, direction) in ways {
+    for (from, to, direction) in directions {
         let (Ok(from), Ok(to)) = (from, to) else {
             return;
         };
         let state = Arc::clone(state);
-        let silenced_before = state.silenced.load(Ordering::Relaxed);
-        std::thread::spawn(move || carry(from, to, direction, &state, silenced_before));
+        let silence_count_at_start = state.silence_count.load(Ordering::Relaxed);
+        std::thread::spawn(move || forward(from, to, direction, &state, silence_count_at_start));
     }
 }
 
-/// Carries bytes one way until either side ends or a fault ends the connection.
-fn carry(
+/// Forwards bytes in one direction until either side closes the connection or a fault resets it.
+fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
     direction: Direction,
     state: &ProxyState,
-    silenced_before: u64,
+    silence_count_at_start: u64,
 ) {
-    let mut piece = vec![0; PIECE_BYTES];
+    let mut chunk = vec![0; CHUNK_BYTES];
     let mut is_silent = false;
-    if from.set_read_timeout(Some(LOOK)).is_err() || to.set_nodelay(true).is_err() {
+    if from.set_read_timeout(Some(POLL_INTERVAL)).is_err() || to.set_nodelay(true).is_err() {
         return;
     }
     loop {
@@ -179,31 +180,31 @@
             reset(&to);
             return;
         }
-        let length = match from.read(&mut piece) {
+        let length = match from.read(&mut chunk) {
             Ok(0) => break,
             Ok(length) => length,
             Err(error) if is_timeout(&error) => continue,
             Err(_) => break,
         };
-        let now = *state.fault.lock();
-        is_silent |= is_silenced(now, direction);
-        is_silent |= state.silenced.load(Ordering::Relaxed) > silenced_before;
-        std::thread::sleep(time_on_link(now, length));
-        if !is_silent && to.write_all(&piece[..length]).is_err() {
+        let fault = *state.fault.lock();
+        is_silent |= blocks_direction(fault, direction);
+        is_silent |= state.silence_count.load(Ordering::Relaxed) > silence_count_at_start;
+        std::thread::sleep(transfer_delay(fault, length));
+        if !is_silent && to.write_all(&chunk[..length]).is_err() {
             break;
         }
     }
     if direction == Direction::ToClient {
-        state.close_if_server_is_gone();
+        state.close_if_server_is_unreachable();
     }
     if !is_silent {
-        // The other side may be gone already.
+        // The other side may already be closed.
         let _ = to.shutdown(Shutdown::Write);
     }
 }
 
-/// How long a piece of this many bytes is under way.
-fn time_on_link(fault: LinkFault, length: usize) -> Duration {
+/// Delay of a chunk of `length` bytes under a fault.
+fn transfer_delay(fault: LinkFault, length: usize) -> Duration {
     match fault {
         LinkFault::Delayed(time) => time,
         LinkFault::Throttled(bytes_per_s) => {
@@ -213,7 +214,7 @@
     }
 }
 
-fn is_silenced(fault: LinkFault, direction: Direction) -> bool {
+fn blocks_direction(fault: LinkFault, direction: Direction) -> bool {
     matches!(
         (fault, direction),
         (LinkFault::SilentToServer, Direction::ToServer)
@@ -228,9 +229,9 @@
     )
 }
 
-/// Makes the other side of a connection see a reset.
+/// Closes a connection with a TCP reset.
 fn reset(stream: &TcpStream) {
-    // A stream that is closed already needs no reset.
+    // Both calls fail if the stream is already closed.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
     let _ = stream.shutdown(Shutdown::Both);
 }
--- a/crates/pinhaven-stand-in/src/target.rs
+++ b/crates/pinhaven-stand-in/src/target.rs
@@ -1,9 +1,10 @@
-//! A stand-in target: slots, a queue, a service time with a heavy tail, and faults.
+//! A stand-in target with slots, a queue, log-normal service times and injected faults.
 //!
-//! A target works on as many requests at a time as it has slots; others wait in order of arrival. The
-//! work is a timer, so that many targets fit one machine. Every answer carries a load report in the
-//! published `endpoint-load-metrics` header (JSON form), and `GET /load` gives the same as a probe,
-//! which takes a slot for its time.
+//! A target processes as many requests concurrently as it has slots; further requests wait for a slot. A timer stands
+//! for the processing, so that many targets fit on one machine. Answers to requests and probes carry a load report in
+//! the `endpoint-load-metrics` header (JSON form). A probe, `GET /load`, also returns the load report as its body and
+//! occupies a slot for its service time. `PUT /faults` configures the faults; `GET /counts` and `GET /runs` return
+//! statistics.
 
 use crate::answer;
 use crate::json_answer;
@@ -30,41 +31,41 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Runs that a target remembers, so that tests can count them by key.
-const RUNS_REMEMBERED: usize = 1_000_000;
+/// Maximum number of idempotency keys whose executions a target counts for tests.
+const RUNS_MAX: usize = 1_000_000;
 
-/// What a target is like.
+/// Settings of a target.
 #[derive(Debug, Clone, Copy)]
 pub struct TargetSettings {
-    /// Requests worked on at a time.
+    /// Number of requests that the target processes concurrently.
     pub slots: usize,
-    /// Mean time of a request, in milliseconds.
+    /// Mean service time of a request, in milliseconds.
     pub mean_ms: f64,
-    /// Spread of the log-normal service time.
+    /// Standard deviation of the service time's logarithm.
     pub sigma: f64,
-    /// Time of a probe, in milliseconds.
+    /// Service time of a probe, in milliseconds.
     pub probe_ms: f64,
-    /// Seed of its randomness.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What goes wrong at a target.
+/// Faults injected by a target.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TargetFaults {
-    /// Requests take this many times longer.
+    /// Factor by which service times are multiplied.
     pub slow_factor: f64,
-    /// Share of requests that fail at once with 500, in percent.
+    /// Share of requests that fail with status 500 as soon as they get a slot, in percent.
     pub fail_percent: u8,
-    /// The target is leaving: it says so and answers new requests with 503.
+    /// Whether the target is leaving: its load report says so, and it answers new requests with 503.
     pub draining: bool,
-    /// New requests past this many waiting are shed with 503.
+    /// Maximum number of waiting requests; further requests are shed with 503.
     pub queue_most: usize,
-    /// Share of answers that are cut in the middle, in percent.
+    /// Share of answers whose body is truncated, in percent.
     pub cut_percent: u8,
-    /// Share of answers that carry the id of another request, in percent.
+    /// Share of answers that carry the id and marker of another request, in percent.
     pub crossed_percent: u8,
-    /// The load report says that the target is idle, whatever it does.
+    /// Whether the load report always describes an idle target.
     pub lying: bool,
 }
 
@@ -82,43 +83,43 @@
     }
 }
 
-/// What a target has done.
+/// Statistics of a target.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct TargetCounts {
-    /// Requests that were begun.
+    /// Requests whose processing started.
     pub started: u64,
-    /// Requests that were finished.
+    /// Requests and probes that finished.
     pub finished: u64,
-    /// Requests shed or refused.
+    /// Requests shed because the target was draining or its queue was full.
     pub refused: u64,
-    /// Requests whose caller left before they were finished.
+    /// Requests and probes that ended early: the caller left, the deadline passed in the queue or the body was cut.
     pub cancelled: u64,
     /// Probes answered.
     pub probes: u64,
-    /// Connections taken.
+    /// Accepted connections; not counted, always 0.
     pub connections: u64,
-    /// When probes arrived, in milliseconds since the target started.
+    /// Arrival times of probes, in milliseconds since the start of the target.
     pub probe_times_ms: Vec<u64>,
-    /// Requests begun since the target was told to drain.
+    /// Requests that arrived while draining.
     pub arrived_draining: u64,
-    /// Time of the last request that arrived while draining, after the drain began, in milliseconds.
+    /// Time from the start of draining to the last arrival of a request, in milliseconds.
     pub last_arrival_draining_ms: u64,
 }
 
 #[derive(Default)]
-struct Work {
+struct TargetState {
     running: usize,
     waiting: usize,
     faults: TargetFaults,
     counts: TargetCounts,
     runs: HashMap<String, u32>,
     random: fastrand::Rng,
-    drain_began: Option<Instant>,
+    drain_started_at: Option<Instant>,
 }
 
 struct Target {
     settings: TargetSettings,
-    work: Mutex<Work>,
+    state: Mutex<TargetState>,
     slot_freed: Event,
     started: Instant,
 }
@@ -133,7 +134,7 @@
     ///
     /// # Errors
     ///
-    /// The system's error when the address can't be had.
+    /// Returns the system's error if binding to the address fails.
     pub fn start(address: SocketAddr, settings: TargetSettings) -> std::io::Result<Self> {
         let server_settings = HttpServerSettings {
             idle_ms: 300_000,
@@ -144,9 +145,9 @@
         let address = server.local_address();
         let target = Arc::new(Target {
             settings,
-            work: Mutex::new(Work {
+            state: Mutex::new(TargetState {
                 random: fastrand::Rng::with_seed(settings.seed),
-                ..Work::default()
+                ..TargetState::default()
             }),
             slot_freed: Event::new(),
             started: Instant::now(),
@@ -162,33 +163,33 @@
         Ok(Self { address })
     }
 
-    /// Where it listens.
+    /// Listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// Frees a slot, or the place in the queue, when the work ends in any way.
-struct Place<'target> {
+/// Frees a request's slot, or its position in the queue, when dropped.
+struct SlotGuard<'target> {
     target: &'target Target,
     is_running: bool,
     is_finished: bool,
 }
 
-impl Drop for Place<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
-        let mut work = self.target.work.lock();
+        let mut state = self.target.state.lock();
         if self.is_running {
-            work.running -= 1;
+            state.running -= 1;
         } else {
-            work.waiting -= 1;
+            state.waiting -= 1;
         }
         if self.is_finished {
-            work.counts.finished += 1;
+            state.counts.finished += 1;
         } else {
-            work.counts.cancelled += 1;
+            state.counts.cancelled += 1;
         }
-        drop(work);
+        drop(state);
         self.target.slot_freed.notify(1);
     }
 }
@@ -199,25 +200,25 @@
         let path = head.uri.path().to_owned();
         match (&head.method, path.as_str()) {
             (&Method::PUT, "/faults") => return self.set_faults(body).await,
-            (&Method::GET, "/counts") => return json_answer(&self.work.lock().counts),
-            (&Method::GET, "/runs") => return json_answer(&self.work.lock().runs),
+            (&Method::GET, "/counts") => return json_answer(&self.state.lock().counts),
+            (&Method::GET, "/runs") => return json_answer(&self.state.lock().runs),
             (&Method::GET, "/load") => return self.probe().await,
             _ => {}
         }
         let id = head.headers.get("x-request-id").cloned();
-        let mut response = self.work_on(&head.headers, body).await;
+        let mut response = self.process(&head.headers, body).await;
         if let Some(id) = id {
             response.headers_mut().entry("x-request-id").or_insert(id);
         }
         response
     }
 
-    async fn work_on(&self, headers: &HeaderMap, body: Incoming) -> Response<AnyBody> {
+    async fn process(&self, headers: &HeaderMap, body: Incoming) -> Response<AnyBody> {
         if let Some(response) = self.refuse_if_full() {
             return response;
         }
-        let Some(mut place) = self.take_slot(headers).await else {
-            return self.reported(answer(
+        let Some(mut slot_guard) = self.acquire_slot(headers).await else {
+            return self.with_load_report(answer(
                 StatusCode::GATEWAY_TIMEOUT,
                 "deadline passed in queue",
             ));
@@ -225,16 +226,16 @@
         let Some(body) = read_body(body).await else {
             return answer(StatusCode::BAD_REQUEST, "the body was cut");
         };
-        let fate = self.begin_run(headers);
-        if fate.fails {
-            place.is_finished = true;
-            drop(place);
-            return self.reported(answer(StatusCode::INTERNAL_SERVER_ERROR, "fault"));
+        let plan = self.start_run(headers);
+        if plan.fails {
+            slot_guard.is_finished = true;
+            drop(slot_guard);
+            return self.with_load_report(answer(StatusCode::INTERNAL_SERVER_ERROR, "fault"));
         }
-        async_io::Timer::after(fate.time).await;
-        place.is_finished = true;
-        drop(place);
-        self.reported(respond(headers, &body, &fate))
+        async_io::Timer::after(plan.time).await;
+        slot_guard.is_finished = true;
+        drop(slot_guard);
+        self.with_load_report(respond(headers, &body, &plan))
     }
 
     async fn set_faults(&self, body: Incoming) -> Response<AnyBody> {
@@ -243,9 +244,9 @@
         };
         match serde_json::from_slice::<TargetFaults>(&body) {
             Ok(faults) => {
-                let mut work = self.work.lock();
-                work.drain_began = faults.draining.then(Instant::now);
-                work.faults = faults;
+                let mut state = self.state.lock();
+                state.drain_started_at = faults.draining.then(Instant::now);
+                state.faults = faults;
                 answer(StatusCode::OK, "")
             }
             Err(error) => answer(StatusCode::BAD_REQUEST, error.to_string()),
@@ -253,23 +254,23 @@
     }
 
     fn refuse_if_full(&self) -> Option<Response<AnyBody>> {
-        let mut work = self.work.lock();
-        if let Some(began) = work.drain_began {
-            work.counts.arrived_draining += 1;
-            work.counts.last_arrival_draining_ms = began.elapsed().as_millis() as u64;
+        let mut state = self.state.lock();
+        if let Some(started_at) = state.drain_started_at {
+            state.counts.arrived_draining += 1;
+            state.counts.last_arrival_draining_ms = started_at.elapsed().as_millis() as u64;
         }
-        if work.faults.draining || work.waiting >= work.faults.queue_most {
-            work.counts.refused += 1;
-            drop(work);
-            return Some(self.reported(answer(StatusCode::SERVICE_UNAVAILABLE, "shed")));
+        if state.faults.draining || state.waiting >= state.faults.queue_most {
+            state.counts.refused += 1;
+            drop(state);
+            return Some(self.with_load_report(answer(StatusCode::SERVICE_UNAVAILABLE, "shed")));
         }
-        work.waiting += 1;
+        state.waiting += 1;
         None
     }
 
-    /// Waits for a slot; `None` when the request's deadline passes first.
-    async fn take_slot(&self, headers: &HeaderMap) -> Option<Place<'_>> {
-        let mut place = Place {
+    /// Waits for a slot; `None` if the request's deadline passes first.
+    async fn acquire_slot(&self, headers: &HeaderMap) -> Option<SlotGuard<'_>> {
+        let mut slot_guard = SlotGuard {
             target: self,
             is_running: false,
             is_finished: false,
@@ -278,12 +279,12 @@
         loop {
             let freed = self.slot_freed.listen();
             {
-                let mut work = self.work.lock();
-                if work.running < self.settings.slots {
-                    work.waiting -= 1;
-                    work.running += 1;
-                    place.is_running = true;
-                    return Some(place);
+                let mut state = self.state.lock();
+                if state.running < self.settings.slots {
+                    state.waiting -= 1;
+                    state.running += 1;
+                    slot_guard.is_running = true;
+                    return Some(slot_guard);
                 }
             }
             match deadline {
@@ -296,28 +297,28 @@
         }
     }
 
-    fn begin_run(&self, headers: &HeaderMap) -> Fate {
-        let mut work = self.work.lock();
-        work.counts.started += 1;
+    fn start_run(&self, headers: &HeaderMap) -> RunPlan {
+        let mut state = self.state.lock();
+        state.counts.started += 1;
         if let Some(key) = headers
             .get("idempotency-key")
             .and_then(|key| key.to_str().ok())
-            && work.runs.len() < RUNS_REMEMBERED
+            && state.runs.len() < RUNS_MAX
         {
-            *work.runs.entry(key.to_owned()).or_default() += 1;
+            *state.runs.entry(key.to_owned()).or_default() += 1;
         }
-        let faults = work.faults.clone();
-        let mut percent = || work.random.u8(0..100);
-        Fate {
+        let faults = state.faults.clone();
+        let mut percent = || state.random.u8(0..100);
+        RunPlan {
             fails: percent() < faults.fail_percent,
-            cut: percent() < faults.cut_percent,
-            crossed: percent() < faults.crossed_percent,
-            time: self.draw_time(&mut work.random, faults.slow_factor),
+            is_cut: percent() < faults.cut_percent,
+            is_crossed: percent() < faults.crossed_percent,
+            time: self.draw_service_time(&mut state.random, faults.slow_factor),
         }
     }
 
-    /// A log-normal time with the settings' mean.
-    fn draw_time(&self, random: &mut fastrand::Rng, slow_factor: f64) -> Duration {
+    /// Draws a log-normal service time with the mean of the settings.
+    fn draw_service_time(&self, random: &mut fastrand::Rng, slow_factor: f64) -> Duration {
         let sigma = self.settings.sigma;
         let normal = (-2.0 * (1.0 - random.f64()).ln()).sqrt()
             * (std::f64::consts::TAU * random.f64()).cos();
@@ -328,39 +329,39 @@
 
     async fn probe(&self) -> Response<AnyBody> {
         {
-            let mut work = self.work.lock();
-            work.waiting += 1;
+            let mut state = self.state.lock();
+            state.waiting += 1;
             let time_ms = self.started.elapsed().as_millis() as u64;
-            work.counts.probe_times_ms.push(time_ms);
+            state.counts.probe_times_ms.push(time_ms);
         }
-        let Some(mut place) = self.take_slot(&HeaderMap::new()).await else {
+        let Some(mut slot_guard) = self.acquire_slot(&HeaderMap::new()).await else {
             return answer(StatusCode::GATEWAY_TIMEOUT, "");
         };
-        let time_ms = self.settings.probe_ms * self.work.lock().faults.slow_factor;
+        let time_ms = self.settings.probe_ms * self.state.lock().faults.slow_factor;
         async_io::Timer::after(Duration::from_secs_f64(time_ms / 1_000.0)).await;
-        self.work.lock().counts.probes += 1;
-        place.is_finished = true;
-        drop(place);
-        self.reported(answer(StatusCode::OK, self.report()))
+        self.state.lock().counts.probes += 1;
+        slot_guard.is_finished = true;
+        drop(slot_guard);
+        self.with_load_report(answer(StatusCode::OK, self.load_report()))
     }
 
-    fn report(&self) -> String {
-        let work = self.work.lock();
-        let (running, waiting) = if work.faults.lying {
+    fn load_report(&self) -> String {
+        let state = self.state.lock();
+        let (running, waiting) = if state.faults.lying {
             (0, 0)
         } else {
-            (work.running, work.waiting)
+            (state.running, state.waiting)
         };
         let utilization = running as f64 / self.settings.slots as f64;
         format!(
             "{{\"application_utilization\":{utilization:.3},\"named_metrics\":{{\
              \"requests_running\":{running},\"requests_waiting\":{waiting},\"draining\":{}}}}}",
-            u8::from(work.faults.draining)
+            u8::from(state.faults.draining)
         )
     }
 
-    fn reported(&self, mut response: Response<AnyBody>) -> Response<AnyBody> {
-        if let Ok(value) = HeaderValue::from_str(&format!("JSON {}", self.report())) {
+    fn with_load_report(&self, mut response: Response<AnyBody>) -> Response<AnyBody> {
+        if let Ok(value) = HeaderValue::from_str(&format!("JSON {}", self.load_report())) {
             response
                 .headers_mut()
                 .insert("endpoint-load-metrics", value);
@@ -369,11 +370,11 @@
     }
 }
 
-/// What will become of a run.
-struct Fate {
+/// Planned outcome of one request.
+struct RunPlan {
     fails: bool,
-    cut: bool,
-    crossed: bool,
+    is_cut: bool,
+    is_crossed: bool,
     time: Duration,
 }
 
@@ -382,19 +383,19 @@
     Some(Duration::from_millis(text.parse().ok()?))
 }
 
-/// The answer: the request's marker and the length and digest of its body.
-fn respond(headers: &HeaderMap, body: &Bytes, fate: &Fate) -> Response<AnyBody> {
+/// Builds the answer: the request's marker, and the length and SHA-256 digest of its body.
+fn respond(headers: &HeaderMap, body: &Bytes, plan: &RunPlan) -> Response<AnyBody> {
     use sha2::Digest as _;
     let own = headers
         .get("x-marker")
         .and_then(|marker| marker.to_str().ok())
         .unwrap_or("none");
-    let marker = if fate.crossed { "another" } else { own };
+    let marker = if plan.is_crossed { "another" } else { own };
     let digest = hex::encode(sha2::Sha256::digest(body));
     let text = format!("{marker} {} {digest}\n", body.len());
-    let mut response = if fate.cut {
-        let cut = text[..text.len() / 2].to_owned();
-        let mut response = Response::new(cut_body(cut));
+    let mut response = if plan.is_cut {
+        let part = text[..text.len() / 2].to_owned();
+        let mut response = Response::new(truncated_body(part));
         response
             .headers_mut()
             .insert(http::header::CONTENT_LENGTH, text.len().into());
@@ -402,22 +403,22 @@
     } else {
         answer(StatusCode::OK, text)
     };
-    if fate.crossed {
+    if plan.is_crossed {
         let id = HeaderValue::from_static("another-request");
         response.headers_mut().insert("x-request-id", id);
     }
     response
 }
 
-/// A body that breaks after its first part.
-fn cut_body(part: String) -> AnyBody {
+/// Builds a body that fails after `part`.
+fn truncated_body(part: String) -> AnyBody {
     use futures_util::stream;
     use http_body::Frame;
     use http_body_util::BodyExt as _;
     use http_body_util::StreamBody;
     let frames = stream::iter([
         Ok(Frame::data(Bytes::from(part))),
-        Err("the target broke off".into()),
+        Err("target aborted the answer".into()),
     ]);
     StreamBody::new(frames).boxed_unsync()
 }
