--- a/crates/pinhaven-lab/tests/bad_answers.rs
+++ b/crates/pinhaven-lab/tests/bad_answers.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use bytes::Bytes;
-use common::in_turn;
-use common::start;
+use common::run_serially;
+use common::start_lab;
 use http::Request;
 use pinhaven_lab::LabPlan;
 use pinhaven_runtime::HttpClient;
@@ -93,8 +93,8 @@
         ),
         ("no HTTP", "whole\r\n\r\n", false),
     ];
-    in_turn(async {
-        let mut lab = start(LabPlan::new(1, vec![common::quote()])).await;
+    run_serially(async {
+        let mut lab = start_lab(LabPlan::new(1, vec![common::quote_service()])).await;
         let entry = lab.caller_addresses().await[0];
         for (what, answer, may_be_whole) in table {
             let mut bundle = lab.bundle();
--- a/crates/pinhaven-lab/tests/bad_input.rs
+++ b/crates/pinhaven-lab/tests/bad_input.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::in_turn;
-use common::start;
+use common::run_serially;
+use common::start_lab;
 use pinhaven_lab::Lab;
 use pinhaven_lab::LabPlan;
 use serde_json::json;
@@ -17,7 +17,7 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 async fn bad_input_lab() -> Lab {
-    let service = common::quote().with_bundle(json!({
+    let service = common::quote_service().with_bundle(json!({
         "body_bytes": 100_000,
         "replay_bytes": 1_000,
         "routes": [
@@ -26,7 +26,7 @@
         ],
     }));
     let plan = LabPlan::new(1, vec![service]);
-    start(plan.with_settings(json!({"caller_idle_ms": 1_000}))).await
+    start_lab(plan.with_settings(json!({"caller_idle_ms": 1_000}))).await
 }
 
 fn connect(address: std::net::SocketAddr) -> TcpStream {
@@ -51,7 +51,7 @@
 
 #[test]
 fn each_bad_request_gets_a_clear_answer_and_does_not_run() {
-    in_turn(async {
+    run_serially(async {
         let lab = bad_input_lab().await;
         let address = lab.caller_addresses().await[0];
         let long = "x".repeat(40_000);
@@ -148,7 +148,7 @@
 
 #[test]
 fn a_body_that_ends_early_does_not_run() {
-    in_turn(async {
+    run_serially(async {
         let lab = bad_input_lab().await;
         let address = lab.caller_addresses().await[0];
         let head = "POST /keyed HTTP/1.1\r\nHost: quote\r\nContent-Length: 500\r\n\
@@ -164,7 +164,7 @@
 
 #[test]
 fn a_body_that_does_not_come_is_given_up_on_at_the_deadline() {
-    in_turn(async {
+    run_serially(async {
         let lab = bad_input_lab().await;
         let address = lab.caller_addresses().await[0];
         let head = "POST / HTTP/1.1\r\nHost: quote\r\nContent-Length: 500\r\n\
@@ -177,7 +177,7 @@
 
 #[test]
 fn a_connection_that_stays_idle_or_sends_half_a_head_is_closed() {
-    in_turn(async {
+    run_serially(async {
         let lab = bad_input_lab().await;
         let address = lab.caller_addresses().await[0];
         for bytes in ["", "GET / HTTP/1.1\r\nHo"] {
@@ -192,7 +192,7 @@
 
 #[test]
 fn a_key_with_another_body_is_refused_and_a_repeated_one_gets_the_first_answer() {
-    in_turn(async {
+    run_serially(async {
         let lab = bad_input_lab().await;
         let address = lab.caller_addresses().await[0];
         let send = |body: &str, more: &str| {
@@ -223,7 +223,7 @@
 
 #[test]
 fn a_large_upload_streams_to_its_target_whole() {
-    in_turn(async {
+    run_serially(async {
         let lab = bad_input_lab().await;
         let address = lab.caller_addresses().await[0];
         let body = "u".repeat(100_000);
--- a/crates/pinhaven-lab/tests/bundles.rs
+++ b/crates/pinhaven-lab/tests/bundles.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::in_turn;
-use common::lab;
+use common::run_serially;
+use common::start_default_lab;
 use pinhaven_lab::Lab;
 use pinhaven_platform::BUNDLE_HEAD;
 use pinhaven_platform::Condition;
@@ -34,8 +34,8 @@
 
 #[test]
 fn a_version_is_in_force_everywhere_and_status_says_so() {
-    in_turn(async {
-        let mut lab = lab().await;
+    run_serially(async {
+        let mut lab = start_default_lab().await;
         for _ in 0..3 {
             let bundle = lab.bundle();
             lab.roll(&bundle).unwrap();
@@ -60,8 +60,8 @@
 
 #[test]
 fn of_operators_who_race_one_wins_and_the_other_is_told_by_whom_it_lost() {
-    in_turn(async {
-        let lab = lab().await;
+    run_serially(async {
+        let lab = start_default_lab().await;
         let mut other = lab.bundle();
         other["address_keep_ms"] = json!(700);
         let first = lab.sign(&lab.bundle(), "operator").unwrap();
@@ -79,8 +79,8 @@
 
 #[test]
 fn a_version_that_does_not_follow_is_refused() {
-    in_turn(async {
-        let lab = lab().await;
+    run_serially(async {
+        let lab = start_default_lab().await;
         let mut bundle = lab.bundle();
         bundle["version"] = json!(9);
         let signed = lab.sign(&bundle, "operator").unwrap();
@@ -91,8 +91,8 @@
 
 #[test]
 fn a_roll_whose_answer_is_lost_is_settled_by_reading_back() {
-    in_turn(async {
-        let mut lab = lab().await;
+    run_serially(async {
+        let mut lab = start_default_lab().await;
         let lossy = PlatformFaults {
             lost_answer_percent: 100,
             ..PlatformFaults::default()
@@ -112,8 +112,8 @@
 
 #[test]
 fn every_entry_refuses_a_head_that_no_trusted_person_signed() {
-    in_turn(async {
-        let lab = lab().await;
+    run_serially(async {
+        let lab = start_default_lab().await;
         let platform = lab.platform();
         let table = HttpTableService::new(platform, TIMEOUT_MS);
         let objects = HttpObjectStore::new(platform, TIMEOUT_MS);
@@ -157,8 +157,8 @@
 
 #[test]
 fn a_head_that_goes_back_changes_nothing() {
-    in_turn(async {
-        let mut lab = lab().await;
+    run_serially(async {
+        let mut lab = start_default_lab().await;
         let table = HttpTableService::new(lab.platform(), TIMEOUT_MS);
         let first = table.read(BUNDLE_HEAD).await.unwrap().unwrap();
         let bundle = lab.bundle();
@@ -177,8 +177,8 @@
 
 #[test]
 fn a_version_spreads_while_the_object_store_is_down_once_one_entry_has_it() {
-    in_turn(async {
-        let mut lab = lab().await;
+    run_serially(async {
+        let mut lab = start_default_lab().await;
         let bundle = lab.bundle();
         // Two entries are frozen while the third takes the version; then the object store fails.
         lab.entry(1).pause();
@@ -211,8 +211,8 @@
 
 #[test]
 fn an_entry_that_starts_while_the_platform_is_down_takes_the_version_from_its_peers() {
-    in_turn(async {
-        let mut lab = lab().await;
+    run_serially(async {
+        let mut lab = start_default_lab().await;
         let bundle = lab.bundle();
         lab.roll(&bundle).unwrap();
         lab.wait_until_in_force().await.unwrap();
@@ -231,8 +231,8 @@
 
 #[test]
 fn an_entry_that_knows_no_version_serves_nothing_and_is_not_named() {
-    in_turn(async {
-        let mut lab = lab().await;
+    run_serially(async {
+        let mut lab = start_default_lab().await;
         lab.set_platform_faults(&DOWN).await;
         lab.kill_entry(2);
         let address = lab.start_entry_with(2, json!({})).unwrap();
--- a/crates/pinhaven-lab/tests/callers.rs
+++ b/crates/pinhaven-lab/tests/callers.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use common::call;
-use common::in_turn;
-use common::lab;
-use common::require_right;
-use common::start;
+use common::assert_no_faults;
+use common::run_serially;
+use common::start_caller;
+use common::start_default_lab;
+use common::start_lab;
 use http_body_util::BodyExt as _;
 use pinhaven_lab::LabPlan;
 use pinhaven_runtime::HyperExecutor;
@@ -23,9 +23,9 @@
 
 #[test]
 fn a_caller_that_speaks_http_2_gets_its_own_answers_over_one_connection() {
-    in_turn(async {
-        let service = common::quote().with_bundle(json!({"entries_named": 1}));
-        let lab = start(LabPlan::new(1, vec![service])).await;
+    run_serially(async {
+        let service = common::quote_service().with_bundle(json!({"entries_named": 1}));
+        let lab = start_lab(LabPlan::new(1, vec![service])).await;
         let address = lab.caller_addresses().await[0];
         let stream = FuturesIo::new(connect_stream(address).await.unwrap());
         let handshake = hyper::client::conn::http2::handshake(HyperExecutor, stream);
@@ -60,8 +60,8 @@
 
 #[test]
 fn address_answers_name_live_entries_near_the_caller_first() {
-    in_turn(async {
-        let mut lab = lab().await;
+    run_serially(async {
+        let mut lab = start_default_lab().await;
         let seeds = lab.caller_addresses().await;
         let mut settings = CallerSettings::new(seeds.clone(), "quote", 1.0, 1);
         settings.domain = "domain-b".to_owned();
@@ -83,9 +83,9 @@
 
 #[test]
 fn after_the_loss_of_a_domain_the_rest_serve_without_a_storm_of_retries() {
-    in_turn(async {
-        let mut lab = start(LabPlan::new(6, vec![common::quote()])).await;
-        let calls = call(&lab, 4_000, |settings| settings.rate_per_s = 200.0).await;
+    run_serially(async {
+        let mut lab = start_lab(LabPlan::new(6, vec![common::quote_service()])).await;
+        let calls = start_caller(&lab, 4_000, |settings| settings.rate_per_s = 200.0).await;
         sleep_ms(1_000).await;
         // Entries 1 and 4 stand in domain b.
         lab.kill_entry(1);
@@ -93,7 +93,7 @@
         let report = calls.await;
         let repeatable = &report.repeatable;
         assert_eq!(repeatable.answered, repeatable.sent, "{repeatable:?}");
-        require_right(&lab, &report).await;
+        assert_no_faults(&lab, &report).await;
         let attempts = lab.counter("attempts").await;
         let requests = lab.counter("requests").await;
         assert!(
@@ -105,15 +105,15 @@
 
 #[test]
 fn metrics_go_out_as_statsd_datagrams() {
-    in_turn(async {
+    run_serially(async {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket
             .set_read_timeout(Some(Duration::from_secs(10)))
             .unwrap();
         let address = socket.local_addr().unwrap();
-        let plan = LabPlan::new(1, vec![common::quote()]);
-        let lab = start(plan.with_settings(json!({"metrics_address": address}))).await;
-        call(&lab, 500, |_| {}).await.await;
+        let plan = LabPlan::new(1, vec![common::quote_service()]);
+        let lab = start_lab(plan.with_settings(json!({"metrics_address": address}))).await;
+        start_caller(&lab, 500, |_| {}).await.await;
         let mut seen = String::new();
         let mut buffer = [0; 65_536];
         let wanted = [
--- a/crates/pinhaven-lab/tests/command_line.rs
+++ b/crates/pinhaven-lab/tests/command_line.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::in_turn;
-use common::lab;
+use common::run_serially;
+use common::start_default_lab;
 use pinhaven_lab::Process;
 use std::path::Path;
 use std::path::PathBuf;
@@ -99,8 +99,8 @@
 
 #[test]
 fn instances_and_targets_are_listed_for_people_and_programs() {
-    in_turn(async {
-        let lab = lab().await;
+    run_serially(async {
+        let lab = start_default_lab().await;
         let table = lab.command(&["instances"]).unwrap();
         assert_eq!(table.matches("ready").count(), 3, "{table}");
         let rows = lab.command(&["instances", "--format", "json"]).unwrap();
--- a/crates/pinhaven-lab/tests/common/mod.rs
+++ b/crates/pinhaven-lab/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests with real processes share.
+//! Helpers shared by the tests that start real processes.
 #![allow(dead_code)]
 
 use pinhaven_lab::Lab;
@@ -16,37 +16,43 @@
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-/// Threads of a test's own process.
-const THREADS: usize = 2;
+/// Runtime threads of the test process.
+const RUNTIME_THREADS: usize = 2;
 
-static TURN: Mutex<()> = Mutex::new(());
+/// Lock held by the test that is running.
+static TEST_LOCK: Mutex<()> = Mutex::new(());
 
-/// Runs a test that starts processes; one at a time, so that they don't slow each other down.
-pub fn in_turn(test: impl Future<Output = ()>) {
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
-    run_with_threads(THREADS, test);
+/// Runs a test that starts processes. Such tests run one at a time so that they don't slow each other down.
+pub fn run_serially(test: impl Future<Output = ()>) {
+    let _guard = TEST_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    run_with_threads(RUNTIME_THREADS, test);
 }
 
-/// A service of 6 targets with 3 slots each and short requests.
-pub fn quote() -> ServicePlan {
+/// A service of 6 targets with 3 slots each and a mean request duration of 10 ms.
+pub fn quote_service() -> ServicePlan {
     let mut service = ServicePlan::new("quote", 6, 3, 10.0);
     service.sigma = 0.3;
     service
 }
 
-/// A deployment of 3 entries with that service.
-pub async fn lab() -> Lab {
-    start(LabPlan::new(3, vec![quote()])).await
+/// Starts a deployment of 3 entries with the service of [`quote_service`].
+pub async fn start_default_lab() -> Lab {
+    start_lab(LabPlan::new(3, vec![quote_service()])).await
 }
 
-pub async fn start(plan: LabPlan) -> Lab {
+/// Starts a deployment.
+///
+/// # Panics
+///
+/// Panics if the deployment can't be started.
+pub async fn start_lab(plan: LabPlan) -> Lab {
     Lab::start(plan)
         .await
         .unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// A caller in the background: half of its requests may not be repeated.
-pub async fn call(
+/// Starts a caller in the background that marks half of its requests as once-only.
+pub async fn start_caller(
     lab: &Lab,
     duration_ms: u64,
     change: impl FnOnce(&mut CallerSettings),
@@ -59,8 +65,8 @@
     spawn(Caller::new(settings).run())
 }
 
-/// Fails the test unless everything that was said to callers was right.
-pub async fn require_right(lab: &Lab, report: &CallerReport) {
+/// Fails the test if an answer or a run status given to a caller was wrong, or if a promise was broken.
+pub async fn assert_no_faults(lab: &Lab, report: &CallerReport) {
     let mut faults = faults_of_report(lab, 0, report).await;
     faults.extend(broken_promises(lab).await);
     assert!(faults.is_empty(), "{faults:#?}");
--- a/crates/pinhaven-lab/tests/foreign_rows.rs
+++ b/crates/pinhaven-lab/tests/foreign_rows.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use bytes::Bytes;
-use common::in_turn;
-use common::lab;
+use common::run_serially;
+use common::start_default_lab;
 use http::Request;
 use pinhaven_lab::Lab;
 use pinhaven_platform::BUNDLE_HEAD;
@@ -62,8 +62,8 @@
 
 #[test]
 fn a_head_that_can_not_be_read_leaves_the_version_in_force_and_stops_operators() {
-    in_turn(async {
-        let mut lab = lab().await;
+    run_serially(async {
+        let mut lab = start_default_lab().await;
         for value in ["", "{}", "null", "[1]", "\u{0}"] {
             let right = overwrite(&lab, BUNDLE_HEAD, value).await.unwrap();
             let before = left_out(&lab, &metric(BUNDLE_HEAD, "form")).await;
@@ -90,8 +90,8 @@
 
 #[test]
 fn entries_and_seats_of_another_writer_cost_nothing_else() {
-    in_turn(async {
-        let lab = lab().await;
+    run_serially(async {
+        let lab = start_default_lab().await;
         for (number, value) in ["", "?", "{}", "{\"state\": 7}"].iter().enumerate() {
             let key = format!("{ENTRY_PREFIX}other-{number}");
             overwrite(&lab, &key, value).await;
@@ -113,8 +113,8 @@
 
 #[test]
 fn a_claim_that_names_no_home_refuses_its_key_as_not_run_and_no_other() {
-    in_turn(async {
-        let lab = lab().await;
+    run_serially(async {
+        let lab = start_default_lab().await;
         let caller = lab.caller_addresses().await[0];
         for (number, value) in ["", "?", "{}", "0.1.2", "zz.1"].iter().enumerate() {
             let key = format!("spoiled-{number}");
--- a/crates/pinhaven-lab/tests/measuring.rs
+++ b/crates/pinhaven-lab/tests/measuring.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::in_turn;
-use common::start;
+use common::run_serially;
+use common::start_lab;
 use pinhaven_lab::LabPlan;
 use pinhaven_runtime::sleep_ms;
 use pinhaven_stand_in::platform::PlatformFaults;
@@ -20,10 +20,10 @@
 
 #[test]
 fn probes_stay_within_the_budget_whatever_happens_to_the_entries() {
-    in_turn(async {
+    run_serially(async {
         let fields = json!({"measuring_budget_percent": BUDGET_PERCENT});
-        let service = common::quote().with_bundle(fields);
-        let mut lab = start(LabPlan::new(4, vec![service])).await;
+        let service = common::quote_service().with_bundle(fields);
+        let mut lab = start_lab(LabPlan::new(4, vec![service])).await;
         let mut bundle = lab.bundle();
         bundle["measuring"] = json!({"seats": 2, "window_ms": WINDOW_MS});
         lab.roll(&bundle).unwrap();
--- a/crates/pinhaven-lab/tests/once_only.rs
+++ b/crates/pinhaven-lab/tests/once_only.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use bytes::Bytes;
-use common::call;
-use common::in_turn;
-use common::lab;
-use common::require_right;
+use common::assert_no_faults;
+use common::run_serially;
+use common::start_caller;
+use common::start_default_lab;
 use http::Request;
 use pinhaven_agree::Home;
 use pinhaven_runtime::HttpClient;
@@ -18,10 +18,10 @@
 
 #[test]
 fn every_request_is_answered_whole_and_runs_once_while_nothing_fails() {
-    in_turn(async {
-        let lab = lab().await;
+    run_serially(async {
+        let lab = start_default_lab().await;
         for names_home in [true, false] {
-            let report = call(&lab, 1_500, |settings| {
+            let report = start_caller(&lab, 1_500, |settings| {
                 settings.names_home = names_home;
                 // Claims are limited to 16 a second at each of 3 entries.
                 settings.rate_per_s = if names_home { 150.0 } else { 30.0 };
@@ -29,98 +29,98 @@
             let report = report.await.await;
             assert_eq!(report.repeatable.answered, report.repeatable.sent);
             assert_eq!(report.once.answered, report.once.sent, "{:?}", report.once);
-            require_right(&lab, &report).await;
+            assert_no_faults(&lab, &report).await;
         }
     });
 }
 
 #[test]
 fn an_entry_that_is_killed_runs_nothing_twice() {
-    in_turn(async {
-        let mut lab = lab().await;
-        let calls = call(&lab, 2_500, |_| {}).await;
+    run_serially(async {
+        let mut lab = start_default_lab().await;
+        let calls = start_caller(&lab, 2_500, |_| {}).await;
         sleep_ms(700).await;
         lab.kill_entry(1);
         sleep_ms(500).await;
         lab.start_entry(1).unwrap();
         let report = calls.await;
         assert!(report.once.answered > 0);
-        require_right(&lab, &report).await;
+        assert_no_faults(&lab, &report).await;
     });
 }
 
 #[test]
 fn an_entry_that_is_paused_under_load_runs_nothing_twice_when_it_goes_on() {
-    in_turn(async {
-        let mut lab = lab().await;
-        let calls = call(&lab, 3_000, |settings| settings.deadline_ms = 500).await;
+    run_serially(async {
+        let mut lab = start_default_lab().await;
+        let calls = start_caller(&lab, 3_000, |settings| settings.deadline_ms = 500).await;
         sleep_ms(500).await;
         lab.entry(0).pause();
         sleep_ms(3_500).await;
         lab.entry(0).resume();
         let report = calls.await;
         sleep_ms(500).await;
-        require_right(&lab, &report).await;
+        assert_no_faults(&lab, &report).await;
     });
 }
 
 #[test]
 fn requests_with_a_home_need_no_platform() {
-    in_turn(async {
-        let lab = lab().await;
+    run_serially(async {
+        let lab = start_default_lab().await;
         let outage = PlatformFaults {
             table_down: true,
             object_down: true,
             ..PlatformFaults::default()
         };
         lab.set_platform_faults(&outage).await;
-        let report = call(&lab, 1_000, |_| {}).await.await;
+        let report = start_caller(&lab, 1_000, |_| {}).await.await;
         assert_eq!(report.once.answered, report.once.sent, "{:?}", report.once);
-        require_right(&lab, &report).await;
+        assert_no_faults(&lab, &report).await;
     });
 }
 
 #[test]
 fn requests_without_a_home_are_refused_as_not_run_while_the_table_is_down() {
-    in_turn(async {
-        let lab = lab().await;
+    run_serially(async {
+        let lab = start_default_lab().await;
         let outage = PlatformFaults {
             table_down: true,
             ..PlatformFaults::default()
         };
         lab.set_platform_faults(&outage).await;
-        let report = call(&lab, 500, |settings| settings.names_home = false);
+        let report = start_caller(&lab, 500, |settings| settings.names_home = false);
         let report = report.await.await;
         assert_eq!(report.once.answered, 0);
         assert!(report.once_said.values().all(|said| said == "not-run"));
-        require_right(&lab, &report).await;
+        assert_no_faults(&lab, &report).await;
     });
 }
 
 #[test]
 fn claims_whose_answers_are_lost_run_nothing_twice() {
-    in_turn(async {
-        let lab = lab().await;
+    run_serially(async {
+        let lab = start_default_lab().await;
         let lossy = PlatformFaults {
             lost_answer_percent: 50,
             hang_percent: 10,
             ..PlatformFaults::default()
         };
         lab.set_platform_faults(&lossy).await;
-        let report = call(&lab, 1_500, |settings| {
+        let report = start_caller(&lab, 1_500, |settings| {
             settings.names_home = false;
             settings.rate_per_s = 30.0;
         });
         let report = report.await.await;
         assert!(report.once.answered > 0);
-        require_right(&lab, &report).await;
+        assert_no_faults(&lab, &report).await;
     });
 }
 
 #[test]
 fn targets_that_cut_cross_fail_and_shed_never_lead_to_a_wrong_answer() {
-    in_turn(async {
-        let lab = lab().await;
+    run_serially(async {
+        let lab = start_default_lab().await;
         let faults = [
             TargetFaults {
                 cut_percent: 50,
@@ -147,16 +147,16 @@
         for (target, faults) in lab.targets(0).iter().zip(&faults) {
             lab.set_target_faults(*target, faults).await;
         }
-        let report = call(&lab, 2_000, |_| {}).await.await;
+        let report = start_caller(&lab, 2_000, |_| {}).await.await;
         assert!(report.repeatable.answered > 0 && report.once.answered > 0);
-        require_right(&lab, &report).await;
+        assert_no_faults(&lab, &report).await;
     });
 }
 
 #[test]
 fn a_request_sent_to_another_entry_is_dispatched_by_its_home_alone() {
-    in_turn(async {
-        let lab = lab().await;
+    run_serially(async {
+        let lab = start_default_lab().await;
         let seeds = lab.caller_addresses().await;
         let caller = Caller::new(CallerSettings::new(seeds.clone(), "quote", 1.0, 1));
         let entries = caller.ask(seeds[0]).await.unwrap().entries;
--- a/crates/pinhaven-lab/tests/resting.rs
+++ b/crates/pinhaven-lab/tests/resting.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use bytes::Bytes;
-use common::in_turn;
-use common::start;
+use common::run_serially;
+use common::start_lab;
 use http::Request;
 use pinhaven_lab::LabPlan;
 use pinhaven_runtime::HttpClient;
@@ -58,8 +58,8 @@
 
 #[test]
 fn a_rest_that_a_target_asks_a_probe_for_holds_for_probes_and_requests() {
-    in_turn(async {
-        let mut lab = start(LabPlan::new(1, vec![common::quote()])).await;
+    run_serially(async {
+        let mut lab = start_lab(LabPlan::new(1, vec![common::quote_service()])).await;
         let (address, arrived) = resting_target();
         let mut bundle = lab.bundle();
         bundle["services"][0]["targets"] = json!([{"address": address, "failure_domain": "a"}]);
--- a/crates/pinhaven-lab/tests/soak.rs
+++ b/crates/pinhaven-lab/tests/soak.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::in_turn;
+use common::run_serially;
 use pinhaven_lab::soak;
 
 /// Seed of the faults.
@@ -12,7 +12,7 @@
 
 #[test]
 fn random_faults_break_no_promise() {
-    in_turn(async {
+    run_serially(async {
         let report = soak::run(SEED, DURATION_MS).await.unwrap();
         assert!(report.faults.is_empty(), "{report:#?}");
         assert!(report.with_home.once.answered > 0);
--- a/crates/pinhaven-lab/tests/stopping.rs
+++ b/crates/pinhaven-lab/tests/stopping.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use common::call;
-use common::in_turn;
-use common::lab;
-use common::require_right;
-use common::start;
+use common::assert_no_faults;
+use common::run_serially;
+use common::start_caller;
+use common::start_default_lab;
+use common::start_lab;
 use pinhaven_lab::LabPlan;
 use pinhaven_runtime::sleep_ms;
 use pinhaven_stand_in::target::TargetFaults;
@@ -18,9 +18,9 @@
 
 #[test]
 fn a_rolling_replacement_of_every_entry_loses_no_request() {
-    in_turn(async {
-        let mut lab = lab().await;
-        let calls = call(&lab, 9_000, |settings| settings.rate_per_s = 100.0).await;
+    run_serially(async {
+        let mut lab = start_default_lab().await;
+        let calls = start_caller(&lab, 9_000, |settings| settings.rate_per_s = 100.0).await;
         sleep_ms(300).await;
         for index in 0..3 {
             lab.entry(index).terminate();
@@ -38,15 +38,15 @@
         let repeatable = &report.repeatable;
         assert_eq!(repeatable.answered, repeatable.sent, "{repeatable:?}");
         assert_eq!(once.cut + once.silent + once.unreachable, 0, "{once:?}");
-        require_right(&lab, &report).await;
+        assert_no_faults(&lab, &report).await;
     });
 }
 
 #[test]
 fn word_of_changed_settings_ends_nothing() {
-    in_turn(async {
-        let mut lab = lab().await;
-        let calls = call(&lab, 1_500, |settings| settings.rate_per_s = 100.0).await;
+    run_serially(async {
+        let mut lab = start_default_lab().await;
+        let calls = start_caller(&lab, 1_500, |settings| settings.rate_per_s = 100.0).await;
         for _ in 0..10 {
             for index in 0..3 {
                 lab.entry(index).tell_changed();
@@ -60,18 +60,18 @@
             let ended = lab.entry(index).wait(Duration::from_millis(1)).await;
             assert_eq!(ended, None, "entry {index} runs on");
         }
-        require_right(&lab, &report).await;
+        assert_no_faults(&lab, &report).await;
     });
 }
 
 #[test]
 fn a_stop_waits_for_a_long_request() {
-    in_turn(async {
-        let mut slow = common::quote();
+    run_serially(async {
+        let mut slow = common::quote_service();
         slow.mean_ms = 2_500.0;
         slow.sigma = 0.0;
-        let mut lab = start(LabPlan::new(2, vec![slow])).await;
-        let calls = call(&lab, 200, |settings| {
+        let mut lab = start_lab(LabPlan::new(2, vec![slow])).await;
+        let calls = start_caller(&lab, 200, |settings| {
             settings.rate_per_s = 20.0;
             settings.deadline_ms = 20_000;
         });
@@ -93,14 +93,14 @@
 
 #[test]
 fn a_stop_that_may_wait_no_longer_gives_every_request_its_final_answer() {
-    in_turn(async {
+    run_serially(async {
         // Work that takes longer than the stop may, as at a target that never answers.
-        let mut silent = common::quote().with_bundle(json!({"typical_ms": 10}));
+        let mut silent = common::quote_service().with_bundle(json!({"typical_ms": 10}));
         silent.mean_ms = 30_000.0;
         silent.sigma = 0.0;
         let plan = LabPlan::new(2, vec![silent]);
-        let mut lab = start(plan.with_settings(json!({"stop_most_ms": 1_500}))).await;
-        let calls = call(&lab, 300, |settings| {
+        let mut lab = start_lab(plan.with_settings(json!({"stop_most_ms": 1_500}))).await;
+        let calls = start_caller(&lab, 300, |settings| {
             settings.rate_per_s = 40.0;
             settings.deadline_ms = 25_000;
         })
@@ -121,13 +121,13 @@
 
 #[test]
 fn a_draining_target_gets_no_new_work_from_any_entry_after_a_few_seconds() {
-    in_turn(async {
+    run_serially(async {
         // One entry gets no requests for the service and can learn of the drain only from the others.
         let fields = json!({"measuring_budget_percent": 0, "entries_named": 2});
-        let service = common::quote().with_bundle(fields);
-        let lab = start(LabPlan::new(3, vec![service])).await;
+        let service = common::quote_service().with_bundle(fields);
+        let lab = start_lab(LabPlan::new(3, vec![service])).await;
         let leaving = lab.targets(0)[2];
-        let calls = call(&lab, 6_000, |settings| settings.rate_per_s = 200.0).await;
+        let calls = start_caller(&lab, 6_000, |settings| settings.rate_per_s = 200.0).await;
         sleep_ms(500).await;
         let faults = TargetFaults {
             draining: true,
@@ -147,18 +147,18 @@
             assert_eq!(target.unwrap().state, "leaving", "entry {index}");
         }
         assert_eq!(report.repeatable.answered, report.repeatable.sent);
-        require_right(&lab, &report).await;
+        assert_no_faults(&lab, &report).await;
     });
 }
 
 #[test]
 fn a_target_listed_as_leaving_finishes_what_it_has_and_gets_nothing_new() {
-    in_turn(async {
-        let mut slow = common::quote();
+    run_serially(async {
+        let mut slow = common::quote_service();
         slow.mean_ms = 800.0;
         slow.sigma = 0.0;
-        let mut lab = start(LabPlan::new(2, vec![slow])).await;
-        let calls = call(&lab, 400, |settings| {
+        let mut lab = start_lab(LabPlan::new(2, vec![slow])).await;
+        let calls = start_caller(&lab, 400, |settings| {
             settings.rate_per_s = 40.0;
             settings.deadline_ms = 20_000;
         });
@@ -172,7 +172,7 @@
         let report = calls.await;
         assert_eq!(report.repeatable.answered, report.repeatable.sent);
         assert_eq!(report.once.answered, report.once.sent);
-        let more = call(&lab, 400, |_| {}).await.await;
+        let more = start_caller(&lab, 400, |_| {}).await.await;
         assert!(more.repeatable.answered > 0);
         let after = lab.target_counts(lab.targets(0)[0]).await;
         assert_eq!(after.started, before.started);
@@ -182,9 +182,9 @@
 
 #[test]
 fn targets_that_are_put_back_stay_whatever_is_still_told_of_the_version_before() {
-    in_turn(async {
-        let plan = LabPlan::new(3, vec![common::quote()]);
-        let mut lab = start(plan.with_settings(json!({"gossip_ms": 5}))).await;
+    run_serially(async {
+        let plan = LabPlan::new(3, vec![common::quote_service()]);
+        let mut lab = start_lab(plan.with_settings(json!({"gossip_ms": 5}))).await;
         for _ in 0..12 {
             for state in ["leaving", "live"] {
                 let mut bundle = lab.bundle();
