--- a/crates/pinhaven-lab/tests/soak.rs
+++ b/crates/pinhaven-lab/tests/soak.rs
@@ -2,17 +2,17 @@
 
 mod common;
 
-use common::in_turn;
+use common::run_serially;
 use pinhaven_lab::soak;
 
-/// Seed of the faults.
+/// Seed of the random faults.
 const SEED: u64 = 11;
-/// Time of the soak, in milliseconds.
+/// Duration of the soak, in milliseconds.
 const DURATION_MS: u64 = 25_000;
 
 #[test]
 fn random_faults_break_no_promise() {
-    in_turn(async {
+    run_serially(async {
         let report = soak::run(SEED, DURATION_MS).await.unwrap();
         assert!(report.faults.is_empty(), "{report:#?}");
         assert!(report.with_home.once.answered > 0);
