--- a/crates/pinhaven-agree/src/latest_runs.rs
+++ b/crates/pinhaven-agree/src/latest_runs.rs
@@ -1,4 +1,4 @@
-//! The latest known run of each target.
+//! The latest known run of each target. A run is one process lifetime of a target.
 //!
 //! The store may receive a write of an earlier run after a write of a later run, and lists may arrive
 //! out of order. The latest run of an id is therefore remembered, also while the id is missing from the
@@ -74,8 +74,8 @@
         incarnation.is_some() && latest > incarnation
     }
 
-    /// Whether this run of the target was listed as leaving. Leaving is final for a run: a "ready"
-    /// entry of the same run that arrives afterwards was written before.
+    /// Whether this run of the target was listed as leaving. Leaving is final for a run: a store row of the same run
+    /// that arrives afterwards and lists the target as ready was written before.
     pub(crate) fn has_left(&self, target: &ListedTarget) -> bool {
         let latest = self.0.get(&target.id);
         latest.is_some_and(|run| run.has_left && Some(run.incarnation) == target.incarnation)
--- a/crates/pinhaven-agree/src/ledger.rs
+++ b/crates/pinhaven-agree/src/ledger.rs
@@ -8,9 +8,9 @@
 //! store. After the home has ended, the outcome of its requests is unknown and no other entry dispatches
 //! them again.
 //!
-//! Epochs bound the memory; each home counts its own. A caller sends the epoch that it was given, also
-//! when it repeats the request. The requests of an epoch are either all recorded or all answered
-//! "unknown", so discarding records never leads to a second execution.
+//! Epochs bound the memory; each incarnation counts its own epochs, and a home names one of them. A caller sends the
+//! epoch that it was given, also when it repeats the request. The requests of an epoch are either all recorded or all
+//! answered "unknown", so discarding records never leads to a second execution.
 
 use displaydoc::Display as DisplayDoc;
 use pinhaven_types::Digest;
--- a/crates/pinhaven-agree/src/lib.rs
+++ b/crates/pinhaven-agree/src/lib.rs
@@ -1,5 +1,8 @@
 //! State that entries agree on: versions in force, target lists, once-only requests, membership and seats.
 //!
+//! A once-only request is a request with a caller's idempotency key, which must not run twice. Its home is the one
+//! process that may dispatch the request. A seat is a lease on the right to send probes to a part of the targets.
+//!
 //! The crate does no I/O. Callers pass in received messages, rows of the store and the current time; the
 //! types of this crate return decisions such as a request to send or a row to write.
 //!
--- a/crates/pinhaven-agree/src/listed_target.rs
+++ b/crates/pinhaven-agree/src/listed_target.rs
@@ -40,7 +40,7 @@
     pub revision: u64,
     /// The targets, by id.
     pub targets: BTreeMap<TargetId, ListedTarget>,
-    /// Ids whose store entries belong to other writers and name no target.
+    /// Ids under which the store holds data of other writers that describes no target.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub foreign_ids: BTreeSet<TargetId>,
 }
@@ -76,8 +76,8 @@
             }
             part
         });
-        // Foreign ids end the retention of lapsed targets at peers, so peers must notice a change of
-        // these ids.
+        // A peer retains a target whose store entry has lapsed, but removes the target at once if its id is foreign.
+        // Peers must therefore notice a change of these ids.
         let foreign = self.foreign_ids.iter().map(ToString::to_string);
         let parts: Vec<String> = targets.chain(foreign).collect();
         let parts: Vec<&[u8]> = parts.iter().map(String::as_bytes).collect();
--- a/crates/pinhaven-agree/src/membership.rs
+++ b/crates/pinhaven-agree/src/membership.rs
@@ -120,7 +120,7 @@
     /// longer counts as live. After ten times `silent_after` the member can be removed.
     pub fn new(own: MemberRow, silent_after: Microseconds) -> Self {
         Self {
-            own_rank: rank_of(&own),
+            own_rank: tie_break_rank(&own),
             own,
             members: BTreeMap::new(),
             silent_after,
@@ -172,7 +172,7 @@
         }
         let Some(member) = self.members.get_mut(&row.incarnation) else {
             let member = Member {
-                rank: rank_of(&row),
+                rank: tie_break_rank(&row),
                 row,
                 heartbeat_at: now,
                 mean_gap: Microseconds::ZERO,
@@ -290,7 +290,7 @@
         let all = std::iter::once(&self.own).chain(live.map(|member| &member.row));
         let mut ranked: Vec<(Digest, &MemberRow)> = all
             .filter(|row| row.state == MemberState::Ready)
-            .map(|row| (rank(service, row), row))
+            .map(|row| (service_rank(service, row), row))
             .collect();
         ranked.sort_by_key(|(rank, _)| *rank);
         ranked.truncate(named);
@@ -320,13 +320,13 @@
     }
 }
 
-/// Rank of an entry among all entries; lower ranks serve first.
-fn rank_of(row: &MemberRow) -> u64 {
+/// Rank of an entry among entries of equal capacity; lower ranks serve first.
+fn tie_break_rank(row: &MemberRow) -> u64 {
     Digest::of(row.instance_id.as_str().as_bytes()).short()
 }
 
 /// Rank of an entry for a service; lower ranks are named first.
-fn rank(service: &ServiceName, row: &MemberRow) -> Digest {
+fn service_rank(service: &ServiceName, row: &MemberRow) -> Digest {
     Digest::of_parts(&[
         service.as_str().as_bytes(),
         row.instance_id.as_str().as_bytes(),
--- a/crates/pinhaven-agree/src/packages.rs
+++ b/crates/pinhaven-agree/src/packages.rs
@@ -1,4 +1,5 @@
-//! Cache of the packages that peers are fetching. Each package is built once, and a peer that has
+//! Cache of the packages that peers are fetching. A package is the form in which a version is sent: an encoding of its
+//! whole body, or of the deltas from a version that the peer holds. Each package is built once, and a peer that has
 //! fetched a part of a package can fetch the rest.
 
 use pinhaven_bundle::BundlePackage;
--- a/crates/pinhaven-agree/src/recent_deltas.rs
+++ b/crates/pinhaven-agree/src/recent_deltas.rs
@@ -49,8 +49,7 @@
         self.0.iter().map(BundleDelta::size).sum()
     }
 
-    /// The deltas that lead from `version` to the version in force; `None` when `version` is not a
-    /// retained start.
+    /// The deltas that lead from `version` to the version in force; `None` when no retained delta starts at `version`.
     pub fn since(&self, version: BundleVersion) -> Option<Vec<&BundleDelta>> {
         let first = self.0.iter().position(|delta| delta.from == version)?;
         Some(self.0.iter().skip(first).collect())
--- a/crates/pinhaven-agree/src/retry_backoff.rs
+++ b/crates/pinhaven-agree/src/retry_backoff.rs
@@ -1,9 +1,8 @@
 //! Backoff of an entry's calls to the store after failures.
 //!
-//! During an outage of the store the calls of all entries fail. The first entries in rank retry often
-//! enough to notice within a second that the store is available again, and advertise what they learn to
-//! the other entries. Entries of higher rank retry rarely, so that the store is not overloaded by all
-//! entries at once when it returns.
+//! During an outage of the store the calls of all entries fail. The first entries in rank retry often enough to notice
+//! within a second that the store is available again, and advertise what they learn to the other entries. The entries
+//! after them in rank retry rarely, so that the store is not overloaded by all entries at once when it returns.
 
 use pinhaven_types::Microseconds;
 
@@ -13,8 +12,9 @@
 const DELAY_MAX: Microseconds = Microseconds::from_ms(800);
 /// Number of ranks after which the delay factor increases by one.
 const RANKS_PER_STEP: u64 = 4;
-/// Maximum delay factor. A single entry that loses its connection to the store gets what it needs from its
-/// peers, so the bound only matters when all entries of lower rank are lost.
+/// Maximum delay factor, which bounds the time until an entry notices the return of the store by itself. An entry that
+/// loses its connection to the store gets what it needs from its peers, so the bound only matters when all entries
+/// before it in rank are lost.
 const RANK_FACTOR_MAX: u64 = 8;
 
 /// Exponential backoff with jitter; the delay doubles with each consecutive failure.
--- a/crates/pinhaven-agree/src/seat.rs
+++ b/crates/pinhaven-agree/src/seat.rs
@@ -1,4 +1,4 @@
-//! Seats: leases on the right to measure a part of the targets.
+//! Seats: leases on the right to measure a part of the targets by probes.
 //!
 //! The bundle sets the number of seats. Each seat is a row in the store that its holder renews. Input are
 //! the listed rows, the outcomes of writes and the current time. Output are the next row to write and the
@@ -37,12 +37,12 @@
 }
 
 impl SeatRow {
-    /// Creates the row that stands for an unreadable row of another writer: one without a valid holder.
+    /// Creates the row without a valid holder that is used in place of an unreadable row of another writer.
     ///
-    /// The seat can be taken once the row has not changed for the usual period, and not while the previous
-    /// holder may still rely on the seat. `renewals` is derived from `version`, the store's version of that
-    /// write. If `renewals` restarted at 0, a later row of a holder could equal an earlier one and look as
-    /// if it had not changed since.
+    /// The seat can be taken once the row has not changed for 20 s as usual, and not while the previous holder may
+    /// still rely on the seat. `renewals` is derived from `version`, the store's version of the unreadable row. If
+    /// `renewals` restarted at 0, a later row of a holder could equal an earlier one and look as if it had not changed
+    /// since.
     pub fn without_holder(version: &str) -> Self {
         Self {
             holder: NO_HOLDER,
--- a/crates/pinhaven-agree/src/steering.rs
+++ b/crates/pinhaven-agree/src/steering.rs
@@ -82,10 +82,10 @@
         named
     }
 
-    /// Whether this entry is a store delegate, one of the few entries that use the store for all.
+    /// Whether this entry is a store delegate, one of the few entries that use the store on behalf of all entries.
     ///
-    /// Delegates follow the configuration, and entries that know no peers find them by their rows in the
-    /// store.
+    /// Delegates read changes of the configuration from the store. Entries that know no peers find the delegates by
+    /// their rows in the store.
     pub fn is_delegate(&self, now: Microseconds) -> bool {
         let ranked = self.ranked(now, MemberState::Starting);
         self.rank_among(&ranked) < delegates_per_domain(&ranked)
--- a/crates/pinhaven-agree/src/store_pace.rs
+++ b/crates/pinhaven-agree/src/store_pace.rs
@@ -15,8 +15,8 @@
 
 /// Returns the pause after an answer that took `transfer` from its first byte to its last.
 ///
-/// `was_available` says whether the change was already available when the call began. A call that had to wait
-/// delivered the first change after a while, so the next call may follow at once.
+/// `was_available` says whether the change was already available when the call began. If the call had to wait for the
+/// change, the store sent nothing meanwhile, so the next call may follow at once.
 ///
 /// Without the pause, 30 entries on links of 1 Mbit/s went up to 32 s without a newer version while a larger version
 /// appeared every 250 ms; with the pause, less than 20 s.
--- a/crates/pinhaven-agree/src/target_list.rs
+++ b/crates/pinhaven-agree/src/target_list.rs
@@ -5,9 +5,9 @@
 //! allows. While the first-ranked reader works, no other entry reaches that age. When the first reader
 //! is frozen, cut off or rejected by the store, the next rank takes over after a fraction of a second.
 //!
-//! A target that is missing from a list is removed, with one exception: store entries of targets lapse
-//! while the store is unavailable, and targets register again soon after the store recovers. Until
-//! then, targets that were listed before the outage are retained. A target whose store entry was
+//! A target that is missing from a list is removed, with one exception: store entries of targets lapse (expire, because
+//! the targets can't renew them) while the store is unavailable, and targets register again soon after the store
+//! recovers. Until then, targets that were listed before the outage are retained. A target whose store entry was
 //! replaced by another writer has not lapsed: the target is removed until its own store entry is back.
 //!
 //! A target may restart under the same id. Once a later run is known, all statements about an earlier
@@ -41,9 +41,9 @@
 /// entries again within about 2 s.
 const REREGISTER_WITHIN: Microseconds = Microseconds::from_ms(2_300);
 
-/// Minimum time for which a peer must have read successfully before this entry's failure for the
-/// failure to count as local to this entry. In an outage of the store, a peer that has not read yet
-/// does so within this time.
+/// Minimum time for which a peer must have read successfully before this entry's failure for the failure to count as
+/// local to this entry. At the beginning of an outage of the store, a peer that has not read since may still count as
+/// successful; each peer that reads does so within this time.
 const STEADY_MARGIN: Microseconds = Microseconds::from_ms(1_500);
 
 /// Result of comparing a peer's list with the known list.
@@ -224,8 +224,8 @@
         self.peer_steady_since = None;
     }
 
-    /// How long the store has answered all reads of this entry; `None` when the last read failed or
-    /// this entry has not read.
+    /// How long this entry has been steady, that is, the store has answered all its reads; `None` when the last read
+    /// failed or this entry has not read.
     pub fn steady_for(&self, now: Microseconds) -> Option<Microseconds> {
         self.steady_since.map(|since| now.saturating_sub(since))
     }
@@ -236,7 +236,8 @@
         self.peer_steady_since = self
             .peer_steady_since
             .map_or(Some(since), |known| Some(known.min(since)));
-        // A further local failure clears `retain_until` but says nothing about the store.
+        // A further local failure clears `retain_until` but says nothing about the store. Zero makes the retained
+        // targets expire at once.
         if self.was_cut_off() && !self.retained.is_empty() {
             self.retain_until = Some(Microseconds::ZERO);
         }
--- a/crates/pinhaven-agree/src/transfer_budget.rs
+++ b/crates/pinhaven-agree/src/transfer_budget.rs
@@ -1,5 +1,7 @@
 //! Share of an entry's link that is used to send versions to peers.
 //!
+//! A version is sent as a package: an encoding of its whole body, or of the deltas from a version that the peer holds.
+//!
 //! When a version appears, all entries that lack the version request it from the few that have it. If an entry
 //! served all requests at once, the parts of all packages would queue behind each other on a slow link, all
 //! transfers would end late, and until then no receiver could serve the version to others. So the whole
@@ -11,7 +13,7 @@
 
 /// Share of the link that transfers to peers may use.
 const LINK_SHARE: f64 = 0.5;
-/// Budget after an idle period, as the time in which `LINK_SHARE` of the link transfers that many bytes.
+/// Time in which `LINK_SHARE` of the link transfers a full budget, the maximum that accumulates while idle.
 const BURST_DURATION: Microseconds = Microseconds::from_ms(50);
 /// Maximum delay that a refused peer is given before it may retry.
 pub const RETRY_DELAY_MAX: Microseconds = Microseconds::from_ms(500);
--- a/crates/pinhaven-agree/src/version.rs
+++ b/crates/pinhaven-agree/src/version.rs
@@ -18,7 +18,7 @@
 
 /// Signer that is recorded for a version that the store acknowledged. No key signs under this name.
 const ACKNOWLEDGED_SIGNER: &str = "acknowledged-by-store";
-/// Operation that is recorded for a version that the store acknowledged.
+/// Id recorded as the write that made an acknowledged version the head, in place of the writer's own id.
 const ACKNOWLEDGED_OPERATION: &str = "acknowledged";
 
 /// State of an offer that has not been checked.
--- a/crates/pinhaven-agree/src/version_fetch.rs
+++ b/crates/pinhaven-agree/src/version_fetch.rs
@@ -1,5 +1,8 @@
 //! Fetching a version from peers in parts.
 //!
+//! A peer sends a version as a package: an encoding of the whole body, or of the deltas from a version that the
+//! requesting entry holds.
+//!
 //! A version may be larger than a link can transfer within the timeout of one call, so an entry
 //! requests it in parts, each with a call and a timeout of its own. Received parts are retained: when a
 //! peer fails, the next peer that holds the same package continues at the same offset. After a package
