--- a/crates/pinhaven-decide/src/advertised.rs
+++ b/crates/pinhaven-decide/src/advertised.rs
@@ -1,8 +1,8 @@
 //! State of targets that this entry has advertised to its peers, and which state to advertise next.
 //!
-//! Counts travel by datagrams, which can be lost. A count is advertised when it changes and repeated in full rounds
-//! for a while, also when it has fallen to zero: otherwise a lost datagram would leave the peers counting requests
-//! that ended long ago.
+//! Counts are sent in datagrams, which can be lost. A count is advertised when it changes, and repeated for a while in
+//! full rounds, the periodic datagrams that cover all targets, also when it has fallen to zero: otherwise a lost
+//! datagram would leave the peers counting requests that ended long ago.
 
 use pinhaven_types::Microseconds;
 use std::collections::HashMap;
--- a/crates/pinhaven-decide/src/availability.rs
+++ b/crates/pinhaven-decide/src/availability.rs
@@ -47,7 +47,7 @@
 impl ServiceState {
     /// When the first target takes requests.
     pub(crate) fn availability(&self, now: Microseconds) -> Availability {
-        let mut opening = Availability::Unknown;
+        let mut first_available = Availability::Unknown;
         for target in self.targets() {
             if target.is_leaving() {
                 continue;
@@ -55,12 +55,12 @@
             let Some(until) = target.rests_until(now) else {
                 return Availability::Now;
             };
-            opening = match opening {
+            first_available = match first_available {
                 Availability::At(earliest) => Availability::At(earliest.min(until)),
                 _ => Availability::At(until),
             };
         }
-        opening
+        first_available
     }
 
     /// Time after which the next refused caller should retry when targets rest until `rest_ends`, in milliseconds.
--- a/crates/pinhaven-decide/src/crashes/verdict.rs
+++ b/crates/pinhaven-decide/src/crashes/verdict.rs
@@ -6,9 +6,9 @@
 use pinhaven_types::RequestFingerprint;
 use std::collections::HashMap;
 
-/// Number of crashed targets from which a request counts as harmful. If one in twenty requests of a service meets a
-/// crash, as with a harmful request twice a second, about one in eight thousand meets three by chance without
-/// succeeding between them.
+/// Number of crashed targets from which a request counts as harmful. If one in twenty requests of a service is in
+/// flight at a crash, as when a harmful request arrives twice a second, about one request in eight thousand is in
+/// flight at three crashes by chance without succeeding between them.
 const CRASHES_FOR_HARMFUL: u32 = 3;
 /// Number of crashed targets from which an entry doesn't send a request on to another target.
 const CRASHES_FOR_SUSPECTED: u32 = 2;
--- a/crates/pinhaven-decide/src/fixed_speed.rs
+++ b/crates/pinhaven-decide/src/fixed_speed.rs
@@ -17,8 +17,9 @@
 /// target. To assume the current speed wrongly is the more expensive error: the request occupies a slot for longer
 /// by the slowdown factor of the target.
 const SAMPLES_MIN: u32 = 8;
-/// Range of the estimate that counts as uncertain. Some answers are misleading, namely those whose target changed
-/// its speed unnoticed or was slowed down by other requests.
+/// Range of the estimate over which the weight of the initial speed rises from 0 to 1; the weight is 0 below, because
+/// some answers are misleading, namely those whose target changed its speed unnoticed or was slowed down by other
+/// requests.
 const UNCERTAIN_RANGE: (f32, f32) = (0.15, 1.0);
 /// Minimum ratio between the durations that the two assumptions predict for an answer to be used as a sample.
 const DURATION_RATIO_MIN: f32 = 1.4;
--- a/crates/pinhaven-decide/src/forecast.rs
+++ b/crates/pinhaven-decide/src/forecast.rs
@@ -29,7 +29,7 @@
 const TIE_JITTER_SHARE: f32 = 0.05;
 /// Weight of a target's utilization in its score, which decides between targets with equal forecasts.
 const UTILIZATION_WEIGHT: f32 = 0.10;
-/// Cost of a target in another failure domain, as a share of the work: the route there costs time and paid
+/// Cost of a target in another failure domain, as a share of the work: the network path there costs time and billed
 /// traffic.
 const REMOTE_DOMAIN_SHARE: f32 = 0.10;
 /// Minimum cost of a target in another failure domain, in milliseconds.
@@ -227,8 +227,8 @@
     } else {
         uncrowded_slots
     };
-    let is_overfilling_cheap = usable == slots;
-    if target.is_owned() || !service.has_owned() || is_overfilling_cheap {
+    let are_all_slots_usable = usable == slots;
+    if target.is_owned() || !service.has_owned() || are_all_slots_usable {
         usable
     } else {
         (usable - OWNER_RESERVED_SLOTS).max(1.0)
--- a/crates/pinhaven-decide/src/lapsed_orders.rs
+++ b/crates/pinhaven-decide/src/lapsed_orders.rs
@@ -1,8 +1,8 @@
 //! Orders of targets that are missing from the list of targets.
 //!
-//! While the store is unavailable, targets lapse from the list, and the lists of peers may lack targets that others
-//! contain. The orders of a run stay valid during its absence: a target that is listed again in the same run is
-//! treated as if it had been listed all the time.
+//! While the store is unavailable, store entries of targets expire and the targets lapse from the list, and the lists
+//! of peers may lack targets that others contain. The orders of a run stay valid during its absence: a target that is
+//! listed again in the same run is treated as if it had been listed all the time.
 
 use crate::orders::OrderState;
 use crate::target::TargetState;
--- a/crates/pinhaven-decide/src/measuring.rs
+++ b/crates/pinhaven-decide/src/measuring.rs
@@ -1,8 +1,8 @@
 //! The probe budget of one target.
 //!
-//! Only the holder of a target's seat probes it, so the entries need no common sum. A change of holders needs
-//! protection: the old holder may have been paused just before it sent a probe, and the new holder may begin at once.
-//! Both probes are reserved in advance by planning two probes fewer than the window could hold.
+//! Only the holder of a target's seat probes it, so the entries need no shared count of probes. A change of holders
+//! needs protection: the old holder may have been paused just before it sent a probe, and the new holder may begin at
+//! once. Both probes are reserved in advance by planning two probes fewer than the window could hold.
 
 use pinhaven_bundle::Measuring;
 use pinhaven_bundle::Service;
@@ -18,10 +18,13 @@
 #[derive(Debug, Clone)]
 pub struct ProbeBudget {
     window: Microseconds,
+    /// Maximum time in each window for which probes may occupy the target.
     allowed: Microseconds,
+    /// Planned time for which one probe occupies the target.
     cost: Microseconds,
     spacing: Option<Microseconds>,
     next_at: Microseconds,
+    /// Time and cost of each probe in the current window.
     spent: VecDeque<(Microseconds, Microseconds)>,
 }
 
--- a/crates/pinhaven-decide/src/progress.rs
+++ b/crates/pinhaven-decide/src/progress.rs
@@ -140,7 +140,8 @@
     }
 }
 
-/// Work that remains after `done_ms` of `work_ms`, in milliseconds at usual speed.
+/// Work that remains after `done_ms` of `work_ms`, in milliseconds at usual speed. A stuck request is expected to need
+/// as much work again as the target has already done.
 fn left_ms(done_ms: f32, work_ms: f32) -> f32 {
     if done_ms > work_ms * STUCK_FACTOR {
         return done_ms;
--- a/crates/pinhaven-decide/src/recent_runs.rs
+++ b/crates/pinhaven-decide/src/recent_runs.rs
@@ -1,7 +1,7 @@
 //! Recent runs of a service's targets.
 //!
-//! They distinguish a restarted target from a new one, also when the target was missing from the list in between, as
-//! a crashed target is.
+//! Recent runs distinguish a restarted target from a new one, also when the target was missing from the list in
+//! between, as a crashed target is.
 
 use crate::target::TargetState;
 use pinhaven_bundle::Target;
--- a/crates/pinhaven-decide/src/request.rs
+++ b/crates/pinhaven-decide/src/request.rs
@@ -155,8 +155,8 @@
     /// Time left at `now` to meet the aim, in milliseconds.
     pub(crate) fn time_to_aim_ms(&self, now: Microseconds) -> f32 {
         let aim_at = self.arrived.plus(self.aim());
-        let spent = now.plus(self.facts.prior_wait);
-        aim_at.saturating_sub(spent).as_ms() as f32
+        let effective_now = now.plus(self.facts.prior_wait);
+        aim_at.saturating_sub(effective_now).as_ms() as f32
     }
 
     pub(crate) fn priority(&self, service: &ServiceState) -> u8 {
@@ -372,9 +372,10 @@
                 target.address()
             )
         });
-        let once = self.request.facts.is_repeatable || self.request.run_state() == RunState::NotRun;
+        let may_send_again =
+            self.request.facts.is_repeatable || self.request.run_state() == RunState::NotRun;
         let holds = holds
-            && require_promise(Promise::AtMostOnce, once, || {
+            && require_promise(Promise::AtMostOnce, may_send_again, || {
                 "a request that may not be repeated would be sent again".to_owned()
             });
         if !holds {
--- a/crates/pinhaven-decide/src/request_end.rs
+++ b/crates/pinhaven-decide/src/request_end.rs
@@ -159,7 +159,8 @@
         self.actions.push(Action::Deliver(attempt));
     }
 
-    /// Refuses a request that crashes targets, regardless of which entry sent it. No other target would answer it.
+    /// Refuses a request that crashes targets, also if other entries sent it to those targets. Another target would
+    /// crash too instead of answering.
     pub(crate) fn hold_back(&mut self, retry_after_ms: u64) {
         self.refuse_until(RefusalReason::HeldBack, Some(retry_after_ms));
     }
@@ -170,8 +171,8 @@
 
     fn refuse_until(&mut self, reason: RefusalReason, retry_after_ms: Option<u64>) {
         let run_state = self.request.run_state();
-        let is_load = matches!(reason, RefusalReason::Overloaded | RefusalReason::EntryFull);
-        if is_load {
+        let is_overload = matches!(reason, RefusalReason::Overloaded | RefusalReason::EntryFull);
+        if is_overload {
             self.service.record_admission(true);
         }
         self.finish();
--- a/crates/pinhaven-decide/src/request_forecast.rs
+++ b/crates/pinhaven-decide/src/request_forecast.rs
@@ -45,7 +45,7 @@
 /// Factor by which a hedge must be faster than the attempts in flight if the hedge would miss the aim too.
 const LATE_HEDGE_FACTOR: f32 = 3.0;
 /// Minimum gain in the probability of meeting the aim that justifies a hedge while all slots are free. Hedges chosen by
-/// this probability let more requests meet their aim at low load too.
+/// this probability let more requests meet their aim also at low load.
 const HEDGE_CHANCE_GAIN_MIN: f32 = 0.12;
 /// Transmission time to a target and back, in milliseconds.
 const ROUND_TRIP_MS: f32 = 4.0;
@@ -103,10 +103,10 @@
         self.schedule_check(FIRST_CHECK_SHARE);
     }
 
-    pub(crate) fn earliest(&mut self, lane: TargetFilter) -> Option<Forecast> {
+    pub(crate) fn earliest(&mut self, filter: TargetFilter) -> Option<Forecast> {
         let work_ms = self.work_ms();
         let tried = &self.request.tried;
-        forecast::earliest(self.service, self.now, self.random, work_ms, tried, lane)
+        forecast::earliest(self.service, self.now, self.random, work_ms, tried, filter)
     }
 
     fn work_ms(&self) -> f32 {
--- a/crates/pinhaven-decide/src/service.rs
+++ b/crates/pinhaven-decide/src/service.rs
@@ -45,8 +45,8 @@
 /// Minimum crowding factor during that period.
 const CROWDING_CAUTION_MIN: f32 = 1.6;
 /// Age of a report at which a target should be asked for its speed, as a share of the typical time of requests. A
-/// choice is wrong if the speed has changed since the report or changes while the request runs. Asking much more
-/// often would only reduce the first error, which is then the smaller one.
+/// choice is wrong if the speed has changed since the report or changes while the request runs. Asking much more often
+/// would only make the first of these cases rarer, which at this age is already the rarer one.
 const REPORT_AGE_TYPICAL_SHARE: f32 = 0.6;
 /// Age of a report at which a target should be asked for its speed, as a share of the mean duration of a speed. Where
 /// work keeps its initial speed, requests that begin at a target that has slowed down since its report are late. A
@@ -130,8 +130,8 @@
 }
 
 impl ServiceState {
-    /// Creates the state of a service in a new bundle version. Targets of `previous` retain their state; other
-    /// targets are cold if there is a `previous`.
+    /// Creates the state of a service in a new bundle version. Targets of `previous` retain their state; other targets
+    /// begin a warm-up if there is a `previous`.
     pub fn new(service: &Service, previous: Option<&Self>, now: Microseconds) -> Self {
         let typical_ms = service.typical_ms as f32;
         let recent_runs = previous
--- a/crates/pinhaven-decide/src/service_targets.rs
+++ b/crates/pinhaven-decide/src/service_targets.rs
@@ -35,9 +35,9 @@
         .flat_map(|previous| previous.targets().iter().zip(previous.listed()))
         .map(|(target, listed)| (target.address(), (target, *listed)))
         .collect();
-    let cold_since = previous.map(|_| now);
+    let warm_up_from = previous.map(|_| now);
     let build_state = |target: &Target| {
-        let state = TargetState::new(target, service.slots, now, cold_since);
+        let state = TargetState::new(target, service.slots, now, warm_up_from);
         let state = match lapsed_orders.find(target) {
             Some(orders) => state.with_orders(orders),
             None => state,
@@ -64,9 +64,9 @@
     service.targets.iter().map(build_target).collect()
 }
 
-/// Whether operators have listed a target as live again that they had listed as leaving. A target that itself
-/// reported that it leaves is not reinstated, however often later versions list it as live. Nor is a target with an
-/// incarnation: it was listed as live before it left, so that `live` is stale, and a restart has another incarnation.
+/// Whether operators have listed a target as live again that they had listed as leaving. A target that itself reported
+/// that it leaves is not reinstated, however often later versions list it as live. Nor is a target with an incarnation:
+/// the same run was live only before it left, so that `live` is out of date, and a restart has another incarnation.
 fn is_reinstated(before: BundledTargetState, after: &Target) -> bool {
     let has_changed_to_live =
         before == BundledTargetState::Leaving && after.state == BundledTargetState::Live;
--- a/crates/pinhaven-decide/src/speed.rs
+++ b/crates/pinhaven-decide/src/speed.rs
@@ -88,9 +88,13 @@
 /// Speed statistics of all targets of a service.
 #[derive(Debug)]
 pub(crate) struct ServiceSpeed {
+    /// Mean slowdown of all targets.
     mean: AtomicF32,
+    /// Mean slowdown of slow targets.
     slow: AtomicF32,
+    /// Total observed time, in milliseconds.
     observed_ms: AtomicF32,
+    /// Number of changes of speed in the observed time.
     changes: AtomicF32,
     /// Estimate whether work retains the speed at which it started.
     pub(crate) fixed_speed: FixedSpeedEstimate,
@@ -145,8 +149,8 @@
     }
 
     /// Expected time for which `work_ms` that starts at a target with this `slowdown` occupies a slot after the target
-    /// has become fast again, as a share of the work. Only that time is taken from requests that could be served in
-    /// time, because such requests don't use the target while it is slow.
+    /// has become fast again, as a share of the work. Requests that could be served in time lose only this time of the
+    /// slot, because they don't use the target while it is slow.
     pub(crate) fn carry_over_share(&self, work_ms: f32, slowdown: f32) -> f32 {
         let slowdown = slowdown.max(1.0);
         let at_current_speed = tail_share(self.mean_duration_ms() / slowdown, work_ms);
@@ -182,6 +186,6 @@
 
 /// Expected share of `total_ms` that remains after an exponentially distributed time with the mean `first_ms`.
 fn tail_share(first_ms: f32, total_ms: f32) -> f32 {
-    let times = first_ms / total_ms.max(0.1);
-    1.0 - times * (1.0 - (-1.0 / times).exp())
+    let ratio = first_ms / total_ms.max(0.1);
+    1.0 - ratio * (1.0 - (-1.0 / ratio).exp())
 }
--- a/crates/pinhaven-decide/src/target.rs
+++ b/crates/pinhaven-decide/src/target.rs
@@ -1,4 +1,4 @@
-//! State of one target as this entry knows it, either stale or from this entry's own requests.
+//! State of one target as this entry knows it, from reports that may be out of date and from its own requests.
 //!
 //! The state has three parts: the exact number of this entry's own requests in flight; the load from other entries,
 //! which decays from the last report towards the service's mean as the report ages; and the time that own requests
@@ -34,9 +34,9 @@
 const LATENCY_HALF_LIFE_MS: f32 = 200.0;
 /// Age at which half of a failure penalty has decayed, in milliseconds.
 const PENALTY_HALF_LIFE_MS: f32 = 500.0;
-/// Time until a cold target gets its full share.
+/// Duration of the warm-up, until a target gets its full share.
 const WARM_UP: Microseconds = Microseconds::from_ms(2_000);
-/// Initial share of a cold target.
+/// Share of a target at the beginning of its warm-up.
 const WARM_SHARE_MIN: f32 = 0.1;
 /// Maximum age of a recent report, in mean durations of a speed.
 const RECENT_SPEED_DURATIONS: f32 = 2.0;
@@ -57,6 +57,7 @@
     speed: ReportedSpeed,
     direct_report_at_us: AtomicU64,
     peers_in_flight: AtomicU32,
+    /// End of the time after its start for which the target reports that it works slowly.
     cold_until: Microseconds,
     in_flight: AtomicU32,
     start_sum_us: AtomicU64,
@@ -67,6 +68,7 @@
     responded_at_us: AtomicU64,
     penalty: AtomicF32,
     penalty_at_us: AtomicU64,
+    /// When the warm-up began, in which the target's share grows; 0 for none.
     warm_up_from_us: AtomicU64,
     pub(crate) consecutive_failures: AtomicU32,
     pub(crate) ejections: AtomicU32,
@@ -107,12 +109,13 @@
 }
 
 impl TargetState {
-    /// Creates the state of a target first seen at `now`. The share of a cold target grows from `cold_since` on.
+    /// Creates the state of a target first seen at `now`. If `warm_up_from` is set, a warm-up begins at that time, in
+    /// which the share of the target grows.
     pub fn new(
         target: &Target,
         slots: u32,
         now: Microseconds,
-        cold_since: Option<Microseconds>,
+        warm_up_from: Option<Microseconds>,
     ) -> Self {
         Self {
             address: target.address,
@@ -133,7 +136,7 @@
             responded_at_us: AtomicU64::new(0),
             penalty: AtomicF32::new(0.0),
             penalty_at_us: AtomicU64::new(0),
-            warm_up_from_us: AtomicU64::new(cold_since.map_or(0, |since| since.count().max(1))),
+            warm_up_from_us: AtomicU64::new(warm_up_from.map_or(0, |since| since.count().max(1))),
             consecutive_failures: AtomicU32::new(0),
             ejections: AtomicU32::new(0),
             ejected_until_us: AtomicU64::new(0),
