--- a/crates/pinhaven-entry/src/crashes/record.rs
+++ b/crates/pinhaven-entry/src/crashes/record.rs
@@ -11,7 +11,7 @@
     /// Records that a target crashed with a request in flight.
     pub(crate) fn record_crash(&self, job: &Job, target: &TargetState) {
         let fingerprints = job.fingerprints();
-        self.watch_crash(fingerprints, target);
+        self.record_crash_evidence(fingerprints, target);
         let Some(subject) = RecordContext::new(job) else {
             return;
         };
--- a/crates/pinhaven-entry/src/crashes/watch.rs
+++ b/crates/pinhaven-entry/src/crashes/watch.rs
@@ -124,7 +124,11 @@
 
 impl Entry {
     /// Records a crash of a target as evidence on a request that was in flight there.
-    pub(crate) fn watch_crash(&self, fingerprints: RequestFingerprints, target: &TargetState) {
+    pub(crate) fn record_crash_evidence(
+        &self,
+        fingerprints: RequestFingerprints,
+        target: &TargetState,
+    ) {
         let now = self.now();
         // In a small service the same few targets crash repeatedly; each crash counts as a separate run.
         let run = target.record_crash(now);
@@ -136,7 +140,7 @@
     }
 
     /// Records a success of a request if there is evidence on the request or some request was in flight at two crashes.
-    pub(crate) fn watch_answer(&self, job: &Job) {
+    pub(crate) fn record_success_evidence(&self, job: &Job) {
         let was_at_crash = job.fingerprints.get().is_some();
         if !was_at_crash && !self.crashes.has_repeated() {
             return;
@@ -171,18 +175,19 @@
         held_for.map(in_ms)
     }
 
-    /// Checks whether a request may be sent to a target. `is_sent_on` is set if an earlier target may have received it.
+    /// Checks whether a request may be sent to a target. `is_further_target` is set if an earlier target may have
+    /// received it.
     ///
     /// # Errors
     ///
     /// The time until the request may be retried, in milliseconds, if the request is held back.
-    pub(crate) fn check_send(&self, job: &Job, is_sent_on: bool) -> Result<(), u64> {
+    pub(crate) fn check_send(&self, job: &Job, is_further_target: bool) -> Result<(), u64> {
         if !self.crashes.has_repeated() {
             return Ok(());
         }
         let (fingerprints, trial_turn) = (job.fingerprints().both(), self.trial_turn());
         let mut suspects = self.crashes.suspects.lock();
-        match suspects.decide_send(&fingerprints, is_sent_on, trial_turn, self.now()) {
+        match suspects.decide_send(&fingerprints, is_further_target, trial_turn, self.now()) {
             SendDecision::Allowed => Ok(()),
             SendDecision::HeldBack { for_us } => Err(in_ms(for_us)),
         }
--- a/crates/pinhaven-entry/src/request/attempt.rs
+++ b/crates/pinhaven-entry/src/request/attempt.rs
@@ -43,7 +43,7 @@
 pub(crate) enum AttemptEnd {
     /// The request was not sent.
     NotSent,
-    /// The request was not sent, because the target had begun to leave or to rest.
+    /// The request was not sent, because the target had begun to leave, or to rest (to refuse new work for a time).
     TargetClosed,
     /// The request was not sent, because it is suspected of crashing targets.
     HeldBack {
@@ -190,8 +190,9 @@
     AttemptEnd::NotSent
 }
 
-/// Reads the head of an answer, and accepts the answer only if it belongs to the request, is genuine, and would show
-/// a truncation. Directives are applied even if the answer is rejected, unless the answer came from another target.
+/// Reads the head of an answer, and accepts the answer only if it belongs to the request, is genuine, and has a body
+/// whose truncation can be detected. The target's orders are applied even if the answer is rejected, unless the answer
+/// came from another target.
 fn check_answer(
     entry: &Entry,
     service: &ServiceEntry,
@@ -202,10 +203,10 @@
     let (status, headers) = (response.status(), response.headers());
     let facts = entry.dialect.read_answer(status, headers, &service.config);
     if facts.is_other_target {
-        // The load report belongs to the other target.
+        // The load report and the orders belong to the other target, so neither is recorded.
         return Err(AttemptEnd::OtherTarget);
     }
-    // The target's directives apply even if the answer belongs to another request or is rejected below.
+    // The target's orders apply even if the answer belongs to another request or is rejected below.
     let orders = entry.dialect.read_orders(status, headers);
     entry.apply_orders(service, target, &orders, OrderSource::Answer);
     if !entry.dialect.is_answer_to(headers, id, &service.config) {
--- a/crates/pinhaven-entry/src/request/dispatch.rs
+++ b/crates/pinhaven-entry/src/request/dispatch.rs
@@ -219,8 +219,8 @@
 
     fn send(&mut self, attempt: Attempt) {
         // The request may have become suspected of crashing targets since it arrived, also by its own last attempt.
-        let is_sent_on = self.may_have_run || !self.in_flight.is_empty();
-        if let Err(for_ms) = self.job.entry.check_send(self.job, is_sent_on) {
+        let is_further_target = self.may_have_run || !self.in_flight.is_empty();
+        if let Err(for_ms) = self.job.entry.check_send(self.job, is_further_target) {
             let end = AttemptEnd::HeldBack { for_ms };
             let outcome = Box::pin(std::future::ready(end));
             return self.in_flight.push(AttemptInFlight { attempt, outcome });
@@ -395,7 +395,7 @@
         }
         self.may_have_run = true;
         if !answer.head.status.is_server_error() {
-            self.job.entry.watch_answer(self.job);
+            self.job.entry.record_success_evidence(self.job);
         }
         AttemptOutcome::Answered {
             is_server_error: answer.head.status.is_server_error(),
--- a/crates/pinhaven-entry/src/request/record_context.rs
+++ b/crates/pinhaven-entry/src/request/record_context.rs
@@ -1,4 +1,4 @@
-//! Facts that every record line on a request carries.
+//! Facts on a request that the entry's recorder adds to each line that it writes about the request.
 
 use crate::callers::job::Job;
 use crate::entry::Entry;
